--- a/org.oatlug/src/org/oatlug/internal/gateway/CallerSocket.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/CallerSocket.java
@@ -9,23 +9,23 @@
 import io.vertx.core.net.impl.ConnectionBase;
 
 /**
- * Looks at the socket of a caller out of turn.
+ * Checks the socket of a caller ahead of the event loop.
  *
- * <p>The event loop comes to each socket once a round, and a round of a busy instance takes
+ * <p>The event loop reads each socket once per iteration, and an iteration of a busy instance takes
  * seconds. Stateless; used from the event loop of the connection, and not while bytes of the same
- * connection are being handed on.
+ * connection are being dispatched.
  */
 final class CallerSocket {
   private CallerSocket() {}
 
   /**
-   * Returns whether the caller has closed the connection, reading what waits in its socket. Costs a
-   * system call; the handlers of the connection run as usual, later.
+   * Returns whether the caller has closed the connection, after reading the pending bytes of its
+   * socket. Costs a system call; the handlers of the connection still run later, as usual.
    */
   static boolean isClosed(HttpConnection connection) {
     Channel channel = ((ConnectionBase) connection).channel();
-    boolean reads = channel.isActive() && channel.config().isAutoRead();
-    if (reads && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
+    boolean readable = channel.isActive() && channel.config().isAutoRead();
+    if (readable && channel.unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
       socket.read();
     }
     return !channel.isActive();
--- a/org.oatlug/src/org/oatlug/internal/gateway/HeldBytes.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/HeldBytes.java
@@ -4,46 +4,46 @@
 package org.oatlug.internal.gateway;
 
 /**
- * The bytes of bodies that all open requests of an instance hold in memory.
+ * Limits the bytes of bodies that all open requests of an instance hold in memory.
  *
- * <p>Invariant: never more than the bound. Owned by one event loop, not thread-safe.
+ * <p>Invariant: the bytes held never exceed the limit. Owned by one event loop, not thread-safe.
  */
 final class HeldBytes {
-  /** Three eighths of the heap of 64 MB that the deployments give an instance. */
-  private static final long MOST = 24L * 1024 * 1024;
+  /** Three eighths of the 64 MB heap with which an instance is deployed. */
+  private static final long DEFAULT_MAXIMUM_BYTES = 24L * 1024 * 1024;
 
-  private final long most;
+  private final long maximumBytes;
   private long held;
 
-  private HeldBytes(long most) {
-    this.most = most;
+  private HeldBytes(long maximumBytes) {
+    this.maximumBytes = maximumBytes;
   }
 
-  /** Returns an account with the usual bound. */
+  /** Returns a limit of the default size. */
   static HeldBytes create() {
-    return new HeldBytes(MOST);
+    return new HeldBytes(DEFAULT_MAXIMUM_BYTES);
   }
 
-  /** Returns an account with a bound of its own. */
-  static HeldBytes within(long most) {
-    return new HeldBytes(most);
+  /** Returns a limit of the given size in bytes. */
+  static HeldBytes within(long maximumBytes) {
+    return new HeldBytes(maximumBytes);
   }
 
-  /** Takes room for so many bytes; returns false and takes nothing if there is not enough. */
+  /** Reserves the bytes; returns false and reserves nothing if that would exceed the limit. */
   boolean take(long bytes) {
-    if (held + bytes > most) {
+    if (held + bytes > maximumBytes) {
       return false;
     }
     held += bytes;
     return true;
   }
 
-  /** Gives back room that was taken. */
+  /** Releases bytes that were reserved. */
   void give(long bytes) {
     held -= bytes;
   }
 
-  /** Returns the bytes held now. */
+  /** Returns the number of bytes now reserved. */
   long held() {
     return held;
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/Incoming.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/Incoming.java
@@ -14,19 +14,19 @@
 import org.oatlug.internal.crash.RequestFingerprint;
 
 /**
- * A request that was admitted, with its whole body. Immutable.
+ * An admitted request with its whole body. Immutable.
  *
  * @param head the head
  * @param route its route
- * @param service the service of the route that answers it
- * @param workspace the workspace of its key, empty on a route open to all
+ * @param service the service chosen among the targets of the route
+ * @param workspace the workspace of its key, empty on a route that needs no key
  * @param method the HTTP method
- * @param uri path and query as they came
- * @param headers the headers that go on to an upstream
+ * @param uri the path and query as received
+ * @param headers the headers to forward to an upstream
  * @param body the body, empty for none
- * @param hasBody whether it has a body at all
- * @param arrived when its head arrived
- * @param deadline when it has to have its final answer
+ * @param hasBody whether it has a body, which may be empty
+ * @param arrived the time at which its head arrived
+ * @param deadline the time by which its final answer is due
  */
 record Incoming(
     RequestHead head,
@@ -40,18 +40,18 @@
     boolean hasBody,
     Instant arrived,
     Instant deadline) {
-  /** The longest subject, in characters. */
-  private static final int MOST_SUBJECT_LENGTH = 160;
+  /** The maximum length of a subject, in characters. */
+  private static final int MAXIMUM_SUBJECT_LENGTH = 160;
 
-  /** Returns what this request has in common with those that its caller sends again. */
+  /** Returns the fingerprint that this request shares with the caller's repetitions of it. */
   String fingerprint() {
     return RequestFingerprint.of(head.host(), uri, workspaceName(), body.getBytes());
   }
 
-  /** Returns whose request it is and where it goes, for operators. */
+  /** Returns the workspace, host and path of the request for operators, possibly truncated. */
   String subject() {
     String text = workspaceName() + " " + head.host() + head.path();
-    return text.substring(0, Math.min(text.length(), MOST_SUBJECT_LENGTH));
+    return text.substring(0, Math.min(text.length(), MAXIMUM_SUBJECT_LENGTH));
   }
 
   private String workspaceName() {
--- a/org.oatlug/src/org/oatlug/internal/gateway/LogLimit.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/LogLimit.java
@@ -11,21 +11,21 @@
 import org.oatlug.internal.util.LogKeys;
 
 /**
- * Bounds how many lines about requests are logged a second.
+ * Limits the rate of log lines about requests.
  *
- * <p>Invariant: lines that were left out are counted, and the next line that is let through comes
- * after one that says how many. Owned by one event loop, not thread-safe.
+ * <p>Invariant: suppressed lines are counted, and the next line that is logged follows a line with
+ * their number. Owned by one event loop, not thread-safe.
  */
 final class LogLimit {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** Lines a second, with a burst of as many: about three times those of a busy instance. */
+  /** The rate and the burst: about three times the rate of a busy instance. */
   private static final double LINES_PER_SECOND = 200;
 
   private final InstantSource clock;
   private final Meters meters;
   private final TokenBucket bucket;
-  private long leftOut;
+  private long suppressed;
 
   private LogLimit(InstantSource clock, Meters meters) {
     this.clock = clock;
@@ -37,22 +37,22 @@
     return new LogLimit(clock, meters);
   }
 
-  /** Returns a line about the request; one beyond the bound is at a level that is not written. */
+  /** Returns a log statement for the request, at a level that is not logged above the limit. */
   FluentLogger.Api line(FluentLogger target, String requestId) {
-    FluentLogger.Api line = allows() ? target.atInfo() : target.atFinest();
+    FluentLogger.Api line = tryAcquire() ? target.atInfo() : target.atFinest();
     return line.with(LogKeys.REQUEST_ID, requestId);
   }
 
-  private boolean allows() {
+  private boolean tryAcquire() {
     Instant now = clock.instant();
     if (!bucket.take(LINES_PER_SECOND, now)) {
-      leftOut++;
+      suppressed++;
       meters.count("log.left-out");
       return false;
     }
-    if (leftOut > 0) {
-      logger.atWarning().log("%d lines about requests were left out", leftOut);
-      leftOut = 0;
+    if (suppressed > 0) {
+      logger.atWarning().log("suppressed %d log lines about requests", suppressed);
+      suppressed = 0;
     }
     return true;
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/StreamPace.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/StreamPace.java
@@ -8,51 +8,52 @@
 import java.util.OptionalDouble;
 
 /**
- * How fast the events of one attempt follow each other.
+ * Measures the time per event of the stream of one attempt.
  *
- * <p>Invariant: a pace is told at most once, and never for a stream that waited for its caller.
- * Used from one event loop.
+ * <p>Invariant: a measurement is returned at most once, and never for a stream that was paused for
+ * a slow caller. Used from one event loop.
  */
 final class StreamPace {
-  /** After so many events the pace is told, without waiting for the end of a long stream. */
-  private static final long ENOUGH_EVENTS = 8;
+  /** The number of events that suffices for a measurement before the end of the stream. */
+  private static final long SUFFICIENT_EVENTS = 8;
 
-  /** A stream that ends with fewer events than this shows no pace. */
-  private static final long LEAST_EVENTS = 3;
+  /** A stream that ends with fewer events than this is not measured. */
+  private static final long MINIMUM_EVENTS = 3;
 
-  private Instant first;
-  private Instant last;
-  private long firstEvents;
-  private long events;
-  private boolean over;
+  private Instant firstArrival;
+  private Instant lastArrival;
+  private long firstEventCount;
+  private long eventCount;
+  private boolean finished;
 
-  /** Takes in events that came at one time; returns the milliseconds an event once enough came. */
+  /** Adds events that arrived together; returns the milliseconds per event once enough arrived. */
   OptionalDouble add(long count, Instant now) {
-    if (first == null) {
-      first = now;
-      firstEvents = count;
+    if (firstArrival == null) {
+      firstArrival = now;
+      firstEventCount = count;
     }
-    events += count;
-    last = now;
-    return events >= ENOUGH_EVENTS ? tell() : OptionalDouble.empty();
+    eventCount += count;
+    lastArrival = now;
+    return eventCount >= SUFFICIENT_EVENTS ? measure() : OptionalDouble.empty();
   }
 
-  /** Returns the milliseconds an event of a stream that ends, if it was not told before. */
+  /** Ends the stream; returns the milliseconds per event unless they were returned before. */
   OptionalDouble end() {
-    return events >= LEAST_EVENTS ? tell() : OptionalDouble.empty();
+    return eventCount >= MINIMUM_EVENTS ? measure() : OptionalDouble.empty();
   }
 
-  /** Notes that the stream waits for its caller, so that its pace says nothing. */
+  /** Discards the measurement, because the stream is paused for a slow caller. */
   void spoil() {
-    over = true;
+    finished = true;
   }
 
-  private OptionalDouble tell() {
-    long measured = events - firstEvents;
-    if (over || measured == 0) {
+  private OptionalDouble measure() {
+    long laterEvents = eventCount - firstEventCount;
+    if (finished || laterEvents == 0) {
       return OptionalDouble.empty();
     }
-    over = true;
-    return OptionalDouble.of((double) Duration.between(first, last).toMillis() / measured);
+    finished = true;
+    return OptionalDouble.of(
+        (double) Duration.between(firstArrival, lastArrival).toMillis() / laterEvents);
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/StrictRequestDecoder.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/StrictRequestDecoder.java
@@ -13,15 +13,16 @@
 import io.vertx.core.net.impl.ConnectionBase;
 
 /**
- * The library's decoder of requests, but for one leniency.
+ * A request decoder that keeps conflicting framing headers.
  *
- * <p>The library drops the length of a request that has both a length and chunks, and reads it by
- * its chunks. What follows them may then be taken for a request of its own that the caller never
- * sent. This one keeps both headers, so that the request is refused. Used from one event loop.
+ * <p>For a request with both {@code Content-Length} and {@code Transfer-Encoding: chunked}, the
+ * library's decoder drops the length and reads the chunks. The bytes after them may then be taken
+ * for another request that the caller never sent (request smuggling). This decoder keeps both
+ * headers, so that the request is refused. Used from one event loop.
  */
 final class StrictRequestDecoder extends VertxHttpRequestDecoder {
-  private static final String DECODER = "strict-decoder";
-  private static final String HEAD_BYTES = "head-bytes";
+  private static final String DECODER_NAME = "strict-decoder";
+  private static final String BYTES_LISTENER_NAME = "head-bytes";
 
   private StrictRequestDecoder(HttpServerOptions options) {
     super(options);
@@ -29,20 +30,20 @@
 
   @Override
   protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-    // Both headers stay; the request is refused when its head is read.
+    // Keeps both headers; the request is refused when its head is read.
   }
 
   /**
-   * Puts this decoder in the place of the library's.
+   * Replaces the library's decoder on a connection.
    *
-   * @param onBytes is told each time that bytes arrive
+   * @param onBytes called each time that bytes arrive
    */
   static void install(HttpConnection connection, HttpServerOptions options, Runnable onBytes) {
     ChannelPipeline pipeline = ((ConnectionBase) connection).channel().pipeline();
-    VertxHttpRequestDecoder replaced = pipeline.get(VertxHttpRequestDecoder.class);
-    pipeline.replace(replaced, DECODER, new StrictRequestDecoder(options));
+    VertxHttpRequestDecoder libraryDecoder = pipeline.get(VertxHttpRequestDecoder.class);
+    pipeline.replace(libraryDecoder, DECODER_NAME, new StrictRequestDecoder(options));
     pipeline.addFirst(
-        HEAD_BYTES,
+        BYTES_LISTENER_NAME,
         new ChannelInboundHandlerAdapter() {
           @Override
           public void channelRead(ChannelHandlerContext context, Object message) {
