--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/StreamRelayTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/StreamRelayTest.java
@@ -15,67 +15,72 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Shows that a caller gets each event of a stream exactly once, however upstreams break off. */
+/** Tests that a caller gets each event of a stream exactly once, wherever upstreams break off. */
 class StreamRelayTest {
   private static final String SEED = "20261202";
   private static final int EVENTS = 20;
 
-  private static String event(long number, boolean carriage) {
-    String end = carriage ? "\r\n" : "\n";
+  private static String event(long number, boolean carriageReturns) {
+    String end = carriageReturns ? "\r\n" : "\n";
     return "id: " + number + end + "data: piece " + number + end + end;
   }
 
-  private static String events(long first, boolean carriage) {
+  private static String events(long first, boolean carriageReturns) {
     StringBuilder text = new StringBuilder();
     for (long number = first; number < EVENTS; number++) {
-      text.append(event(number, carriage));
+      text.append(event(number, carriageReturns));
     }
     return text.toString();
   }
 
-  /** Hands the text on in pieces of chance lengths. */
-  private static Buffer relayInPieces(StreamRelay relay, String text, Random random) {
-    Buffer out = Buffer.buffer();
-    int at = 0;
-    while (at < text.length()) {
-      int length = Math.min(text.length() - at, 1 + random.nextInt(40));
-      out.appendBuffer(relay.take(Buffer.buffer(text.substring(at, at + length))));
-      at += length;
+  /** Relays the text in parts of random lengths. */
+  private static Buffer relayInParts(StreamRelay relay, String text, Random random) {
+    Buffer output = Buffer.buffer();
+    int position = 0;
+    while (position < text.length()) {
+      int length = Math.min(text.length() - position, 1 + random.nextInt(40));
+      output.appendBuffer(relay.take(Buffer.buffer(text.substring(position, position + length))));
+      position += length;
     }
-    return out;
+    return output;
   }
 
   @Property(seed = SEED)
-  void testAnyCutsAndPiecesGiveEachEventOnce(
+  void testAnyCutsAndPartsGiveEachEventOnce(
       @ForAll @Size(max = 5) List<@IntRange(min = 0, max = 600) Integer> cuts,
-      @ForAll boolean carriage,
-      @ForAll boolean upstreamsStartAnew,
-      @ForAll @IntRange(min = 0, max = 100_000) int chance) {
-    Random random = new Random(chance);
+      @ForAll boolean carriageReturns,
+      @ForAll boolean upstreamsRestart,
+      @ForAll @IntRange(min = 0, max = 100_000) int randomSeed) {
+    Random random = new Random(randomSeed);
     StreamRelay relay = StreamRelay.after(OptionalLong.empty());
-    Buffer out = Buffer.buffer();
+    Buffer output = Buffer.buffer();
     for (int cut : cuts) {
-      String run = run(relay, carriage, upstreamsStartAnew);
-      out.appendBuffer(relayInPieces(relay, run.substring(0, Math.min(cut, run.length())), random));
-      relay.nextUpstream();
+      String upstreamEvents = eventsOfNextUpstream(relay, carriageReturns, upstreamsRestart);
+      output.appendBuffer(
+          relayInParts(
+              relay, upstreamEvents.substring(0, Math.min(cut, upstreamEvents.length())), random));
+      relay.resetForNextUpstream();
     }
-    out.appendBuffer(relayInPieces(relay, run(relay, carriage, upstreamsStartAnew), random));
-    assertEquals(out.toString(), events(0, carriage));
-    assertTrue(!relay.endsInsideEvent());
-    assertEquals(relay.events(), EVENTS);
+    output.appendBuffer(
+        relayInParts(
+            relay, eventsOfNextUpstream(relay, carriageReturns, upstreamsRestart), random));
+    assertEquals(output.toString(), events(0, carriageReturns));
+    assertTrue(!relay.hasPartialEvent());
+    assertEquals(relay.eventCount(), EVENTS);
   }
 
-  /** Returns what the next upstream sends: what follows, or everything if it ignores the number. */
-  private static String run(StreamRelay relay, boolean carriage, boolean anew) {
-    long first = anew ? 0 : relay.last().orElse(-1) + 1;
-    return events(first, carriage);
+  /** Returns what the next upstream sends: the remaining events, or all if it ignores the ID. */
+  private static String eventsOfNextUpstream(
+      StreamRelay relay, boolean carriageReturns, boolean restarts) {
+    long first = restarts ? 0 : relay.lastEventId().orElse(-1) + 1;
+    return events(first, carriageReturns);
   }
 
   @Property(seed = SEED, tries = 50)
-  void testEndInsideEventIsSeen(@ForAll @IntRange(min = 1, max = 400) int length) {
+  void testPartialEventIsDetected(@ForAll @IntRange(min = 1, max = 400) int length) {
     StreamRelay relay = StreamRelay.after(OptionalLong.empty());
     String text = events(0, false).substring(0, length);
     relay.take(Buffer.buffer(text));
-    assertEquals(relay.endsInsideEvent(), !text.endsWith("\n\n"));
+    assertEquals(relay.hasPartialEvent(), !text.endsWith("\n\n"));
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/CallerAnswer.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/CallerAnswer.java
@@ -13,10 +13,10 @@
 import org.oatlug.internal.http.Problem;
 
 /**
- * Writes the one answer that a caller gets.
+ * Writes the answer to a caller's request.
  *
- * <p>Invariants: nothing is written after the end; an answer that was begun and cannot be ended
- * whole is cut by closing the connection, so that it never looks whole. Used from one event loop.
+ * <p>Invariants: nothing is written after the end; an answer that was begun and cannot be completed
+ * is aborted by closing the connection, so that it never looks complete. Used from one event loop.
  */
 final class CallerAnswer {
   private static final String CONTENT_LENGTH = "Content-Length";
@@ -31,21 +31,21 @@
     this.response = request.response();
   }
 
-  /** Calls the handler when the caller goes away before the answer ends. */
-  void onGone(Runnable handler) {
-    response.exceptionHandler(failure -> gone(handler));
-    response.closeHandler(unused -> gone(handler));
+  /** Sets the handler to call if the caller disconnects before the answer ends. */
+  void onDisconnect(Runnable handler) {
+    response.exceptionHandler(failure -> disconnected(handler));
+    response.closeHandler(unused -> disconnected(handler));
   }
 
-  private void gone(Runnable handler) {
+  private void disconnected(Runnable handler) {
     if (!ended) {
       ended = true;
       handler.run();
     }
   }
 
-  /** Looks whether the caller went away, also if that was not reported yet. */
-  boolean isCallerGone() {
+  /** Returns whether the caller disconnected, even if that was not reported yet. */
+  boolean isCallerDisconnected() {
     return ended || CallerSocket.isClosed(request.connection());
   }
 
@@ -57,14 +57,14 @@
     return ended;
   }
 
-  /** Says that the connection ends with this answer. */
-  void closeAfterwards() {
+  /** Announces that the connection is closed after this answer. */
+  void closeConnectionAfterwards() {
     if (!response.headWritten()) {
       response.putHeader("Connection", "close");
     }
   }
 
-  /** Begins an answer whose body follows in pieces. */
+  /** Begins an answer whose body is written in parts. */
   void begin(int status, MultiMap headers) {
     response.setStatusCode(status);
     response.headers().addAll(headers);
@@ -73,8 +73,8 @@
     }
   }
 
-  /** Writes a piece of the body; returns whether the caller reads too slowly for more. */
-  boolean write(Buffer data, Runnable whenDrained) {
+  /** Writes a part of the body; if the queue is full, returns true and calls the handler later. */
+  boolean write(Buffer data, Runnable onDrained) {
     if (ended) {
       return false;
     }
@@ -82,7 +82,7 @@
     if (!response.writeQueueFull()) {
       return false;
     }
-    response.drainHandler(unused -> whenDrained.run());
+    response.drainHandler(unused -> onDrained.run());
     return true;
   }
 
@@ -94,8 +94,8 @@
     }
   }
 
-  /** Gives a whole answer. */
-  void whole(int status, MultiMap headers, Buffer body) {
+  /** Sends a complete answer. */
+  void sendWhole(int status, MultiMap headers, Buffer body) {
     if (ended) {
       return;
     }
@@ -106,26 +106,26 @@
     response.end(body);
   }
 
-  /** Refuses the request, or cuts the answer if it was begun. */
+  /** Refuses the request, or aborts the answer if it was begun. */
   void refuse(Refusal refusal, String requestId) {
     if (ended) {
       return;
     }
     if (response.headWritten()) {
-      cut();
+      abort();
       return;
     }
     ended = true;
-    Problem.send(response, refusal, requestId, CallerAnswer::seconds);
+    Problem.send(response, refusal, requestId, CallerAnswer::formatSeconds);
   }
 
-  /** Closes the connection, so that what was written does not look whole. */
-  void cut() {
+  /** Closes the connection, so that a partial answer does not look complete. */
+  void abort() {
     ended = true;
     request.connection().close();
   }
 
-  private static String seconds(Duration wait) {
-    return String.format(Locale.ROOT, "%.2f", wait.toMillis() / MILLIS_PER_SECOND);
+  private static String formatSeconds(Duration duration) {
+    return String.format(Locale.ROOT, "%.2f", duration.toMillis() / MILLIS_PER_SECOND);
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/CallerConnection.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/CallerConnection.java
@@ -11,10 +11,11 @@
 import org.oatlug.gateway.CallerLimits;
 
 /**
- * One connection of a caller: closes it when it rested too long or sends a head too slowly.
+ * One connection of a caller, with its idle timeout and the timeout of a request head.
  *
- * <p>The limit is read when the time is up, so that a longer one in force by then counts.
- * Invariant: no connection is closed here while a request on it is open. Used from one event loop.
+ * <p>The idle timeout is read again when the timer fires, so that a longer one configured by then
+ * applies. Invariant: no connection is closed here while a request on it is open. Used from one
+ * event loop.
  */
 final class CallerConnection {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -23,14 +24,14 @@
   private final Vertx vertx;
   private final HttpConnection connection;
   private final Supplier<CallerLimits> limits;
-  private int open;
+  private int openRequests;
   private boolean closed;
-  private boolean condemned;
+  private boolean framingInvalid;
 
-  /** By the clock of {@link System#nanoTime}. */
-  private long restingSince;
+  /** The start of the idle period, as {@link System#nanoTime}. */
+  private long idleSinceNanos;
 
-  private long timer = NO_TIMER;
+  private long idleTimer = NO_TIMER;
   private long headTimer = NO_TIMER;
 
   private CallerConnection(Vertx vertx, HttpConnection connection, Supplier<CallerLimits> limits) {
@@ -39,34 +40,34 @@
     this.limits = limits;
   }
 
-  /** Watches over a connection that was just opened. */
+  /** Starts the timeouts of a connection that was just opened. */
   static CallerConnection watch(
       Vertx vertx, HttpConnection connection, Supplier<CallerLimits> limits) {
-    CallerConnection watched = new CallerConnection(vertx, connection, limits);
-    watched.rest();
-    return watched;
+    CallerConnection callerConnection = new CallerConnection(vertx, connection, limits);
+    callerConnection.startIdleTimer();
+    return callerConnection;
   }
 
-  /** Notes that the connection is closed. */
+  /** Records that the connection is closed. */
   void closed() {
     closed = true;
     cancelHeadTimer();
-    cancel();
+    cancelIdleTimer();
   }
 
-  /** Notes that bytes arrived; the head of a request has to be whole some time after its first. */
+  /** Records that bytes arrived; the first bytes of a request start the timeout of its head. */
   void bytesArrived() {
-    if (open == 0 && headTimer == NO_TIMER && !closed) {
+    if (openRequests == 0 && headTimer == NO_TIMER && !closed) {
       long millis = Math.max(1, limits.get().headerTimeoutMillis());
-      headTimer = vertx.setTimer(millis, unused -> headIsLate());
+      headTimer = vertx.setTimer(millis, unused -> headTimedOut());
     }
   }
 
-  private void headIsLate() {
+  private void headTimedOut() {
     headTimer = NO_TIMER;
-    if (open == 0) {
-      logger.atInfo().log("a connection is closed: the head of its request is late");
-      LateHead.refuse(connection);
+    if (openRequests == 0) {
+      logger.atInfo().log("closing a connection: its request head was not complete in time");
+      HeadTimeoutResponse.send(connection);
     }
   }
 
@@ -77,36 +78,36 @@
     }
   }
 
-  /** Notes that a request began. */
+  /** Records that a request began. */
   void requestBegan() {
-    open++;
+    openRequests++;
     cancelHeadTimer();
-    cancel();
+    cancelIdleTimer();
   }
 
-  /** Notes that a request got its answer. */
+  /** Records that a request got its answer. */
   void requestEnded() {
-    open--;
-    if (condemned) {
+    openRequests--;
+    if (framingInvalid) {
       connection.close();
-    } else if (open == 0 && !closed) {
-      rest();
+    } else if (openRequests == 0 && !closed) {
+      startIdleTimer();
     }
   }
 
-  /** Ends the connection: its framing is in doubt, so nothing more is taken from it. */
-  void condemn() {
-    condemned = true;
+  /** Marks the framing as invalid, so that the connection is closed once its request has ended. */
+  void markFramingInvalid() {
+    framingInvalid = true;
   }
 
-  /** Returns whether nothing more is taken from the connection. */
-  boolean isCondemned() {
-    return condemned;
+  /** Returns whether the framing is invalid, so that no further request may be read. */
+  boolean isFramingInvalid() {
+    return framingInvalid;
   }
 
-  /** Returns whether no request is open on it. */
-  boolean isResting() {
-    return open == 0;
+  /** Returns whether no request is open on the connection. */
+  boolean isIdle() {
+    return openRequests == 0;
   }
 
   /** Closes the connection. */
@@ -114,31 +115,31 @@
     connection.close();
   }
 
-  private void rest() {
-    restingSince = System.nanoTime();
-    schedule(limits.get().idleTimeoutMillis());
+  private void startIdleTimer() {
+    idleSinceNanos = System.nanoTime();
+    scheduleIdleCheck(limits.get().idleTimeoutMillis());
   }
 
-  private void schedule(long millis) {
-    cancel();
-    timer = vertx.setTimer(Math.max(1, millis), unused -> timeUp());
+  private void scheduleIdleCheck(long millis) {
+    cancelIdleTimer();
+    idleTimer = vertx.setTimer(Math.max(1, millis), unused -> idleTimerFired());
   }
 
-  private void timeUp() {
-    timer = NO_TIMER;
-    long restedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - restingSince);
-    long left = limits.get().idleTimeoutMillis() - restedMillis;
-    if (left > 0) {
-      schedule(left);
+  private void idleTimerFired() {
+    idleTimer = NO_TIMER;
+    long idleMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - idleSinceNanos);
+    long remainingMillis = limits.get().idleTimeoutMillis() - idleMillis;
+    if (remainingMillis > 0) {
+      scheduleIdleCheck(remainingMillis);
     } else {
       connection.close();
     }
   }
 
-  private void cancel() {
-    if (timer != NO_TIMER) {
-      vertx.cancelTimer(timer);
-      timer = NO_TIMER;
+  private void cancelIdleTimer() {
+    if (idleTimer != NO_TIMER) {
+      vertx.cancelTimer(idleTimer);
+      idleTimer = NO_TIMER;
     }
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/CallerFront.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/CallerFront.java
@@ -28,59 +28,60 @@
 import org.oatlug.gateway.Route;
 
 /**
- * Where callers connect: reads requests, refuses those that may not go on, and starts the others.
+ * The HTTP server for callers: reads requests, refuses those that are not admitted, and starts an
+ * exchange for each of the others.
  *
- * <p>Which ones may go on is the matter of {@link Admission}. Invariant: what is refused here was
- * handed to no upstream. Used from one event loop.
+ * <p>{@link Admission} decides which requests are admitted. Invariant: a request that is refused
+ * here was sent to no upstream. Used from one event loop.
  */
 public final class CallerFront {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** The decoder's bound of a head; the smaller bound in force is checked on the whole head. */
-  private static final int DECODER_HEADER_BYTES = 262_144;
+  /** The decoder's limit of a head, in bytes; the configured lower limit is checked afterwards. */
+  private static final int MAXIMUM_DECODER_HEADER_BYTES = 262_144;
 
   /**
-   * How long a request waits for a start to end: less than the second after which callers give up
-   * an instance that does not read.
+   * How long a request waits for the instance to become ready: less than the second after which
+   * callers give up an instance that does not read.
    */
-  private static final Duration START_PATIENCE = Duration.ofMillis(800);
+  private static final Duration READINESS_TIMEOUT = Duration.ofMillis(800);
 
-  /** How many requests wait for a start to end; their bodies are not read meanwhile. */
-  private static final int MAXIMUM_WAITING = 500;
+  /** The limit of requests that wait for readiness; their bodies are not read meanwhile. */
+  private static final int MAXIMUM_WAITING_REQUESTS = 500;
 
   private final HttpServerOptions options =
       new HttpServerOptions()
           .setHttp2ClearTextEnabled(false)
-          .setMaxHeaderSize(DECODER_HEADER_BYTES)
-          .setMaxInitialLineLength(DECODER_HEADER_BYTES)
+          .setMaxHeaderSize(MAXIMUM_DECODER_HEADER_BYTES)
+          .setMaxInitialLineLength(MAXIMUM_DECODER_HEADER_BYTES)
           .setHandle100ContinueAutomatically(true)
           .setTcpNoDelay(true);
   private final GatewayParts parts;
   private final RandomGenerator random;
   private final Map<HttpConnection, CallerConnection> connections = new HashMap<>();
-  private final Set<OpenRequest> waiting = new LinkedHashSet<>();
-  private final BooleanSupplier serves;
+  private final Set<OpenRequest> waitingRequests = new LinkedHashSet<>();
+  private final BooleanSupplier ready;
   private final Admission admission;
-  private int open;
+  private int openRequests;
 
-  private CallerFront(GatewayParts parts, RandomGenerator random, BooleanSupplier serves) {
+  private CallerFront(GatewayParts parts, RandomGenerator random, BooleanSupplier ready) {
     this.parts = parts;
     this.random = random;
-    this.serves = serves;
-    this.admission = Admission.create(parts, serves);
+    this.ready = ready;
+    this.admission = Admission.create(parts, ready);
   }
 
   /**
-   * Returns a front that does not listen yet.
+   * Returns a server that does not listen yet.
    *
-   * @param serves whether the instance knows enough to serve
+   * @param ready returns whether the instance is ready to serve
    */
   public static CallerFront create(
-      GatewayParts parts, RandomGenerator random, BooleanSupplier serves) {
-    return new CallerFront(parts, random, serves);
+      GatewayParts parts, RandomGenerator random, BooleanSupplier ready) {
+    return new CallerFront(parts, random, ready);
   }
 
-  /** Starts to accept callers. */
+  /** Starts to accept connections. */
   public Future<HttpServer> listen() {
     Endpoint endpoint = parts.settings().callers();
     return parts
@@ -93,67 +94,67 @@
 
   /** Returns the number of open requests. */
   public int open() {
-    return open;
+    return openRequests;
   }
 
   /**
-   * Begins a planned stop: requests go on being taken, each answer ends its connection.
+   * Begins a planned shutdown: requests are still accepted, and each answer closes its connection.
    *
-   * @param cutAt when what is still open will be cut
+   * @param closeAt when the connections still open will be closed
    */
-  public void beginStop(Instant cutAt) {
-    admission.beginStop(cutAt);
+  public void beginStop(Instant closeAt) {
+    admission.beginStop(closeAt);
   }
 
-  /** Closes the connections that rest, so that their callers go elsewhere. */
+  /** Closes idle connections, so that their callers connect to other instances. */
   public void closeResting() {
     for (CallerConnection connection : List.copyOf(connections.values())) {
-      if (connection.isResting()) {
+      if (connection.isIdle()) {
         connection.close();
       }
     }
   }
 
-  /** Cuts what is still open. */
+  /** Closes all connections, with the requests still open on them. */
   public void cutAll() {
     List.copyOf(connections.values()).forEach(CallerConnection::close);
   }
 
   private void connected(HttpConnection connection) {
-    CallerConnection watched =
+    CallerConnection callerConnection =
         CallerConnection.watch(parts.vertx(), connection, () -> parts.tables().limits());
-    connections.put(connection, watched);
-    StrictRequestDecoder.install(connection, options, watched::bytesArrived);
+    connections.put(connection, callerConnection);
+    StrictRequestDecoder.install(connection, options, callerConnection::bytesArrived);
     connection.closeHandler(
         unused -> {
           connections.remove(connection);
-          watched.closed();
+          callerConnection.closed();
         });
   }
 
   private void received(HttpServerRequest request) {
-    CallerConnection from = connections.get(request.connection());
-    if (from != null && from.isCondemned()) {
-      from.close();
+    CallerConnection callerConnection = connections.get(request.connection());
+    if (callerConnection != null && callerConnection.isFramingInvalid()) {
+      callerConnection.close();
       return;
     }
-    OpenRequest opened = new OpenRequest(request, parts.clock().instant());
-    opened.begin();
-    if (serves.getAsBoolean() || waiting.size() >= MAXIMUM_WAITING) {
-      opened.proceed();
+    OpenRequest openRequest = new OpenRequest(request, parts.clock().instant());
+    openRequest.begin();
+    if (ready.getAsBoolean() || waitingRequests.size() >= MAXIMUM_WAITING_REQUESTS) {
+      openRequest.proceed();
     } else {
-      opened.awaitStart();
+      openRequest.awaitReadiness();
     }
   }
 
-  /** Lets the requests go on that came before the instance knew enough. */
+  /** Proceeds with the requests that arrived before the instance was ready. */
   public void started() {
-    List<OpenRequest> ready = List.copyOf(waiting);
-    waiting.clear();
-    ready.forEach(OpenRequest::proceed);
+    List<OpenRequest> released = List.copyOf(waitingRequests);
+    waitingRequests.clear();
+    released.forEach(OpenRequest::proceed);
   }
 
-  private Incoming incoming(
+  private Incoming admittedRequest(
       HttpServerRequest request,
       RequestHead head,
       Admission.Admitted admitted,
@@ -161,15 +162,15 @@
       Instant arrived) {
     Route route = admitted.route();
     Duration timeout = Duration.ofMillis(route.timeoutMillis());
-    Duration patience = head.patience().orElse(timeout);
-    Duration held = patience.compareTo(timeout) < 0 ? patience : timeout;
+    Duration callerTimeout = head.patience().orElse(timeout);
+    Duration effectiveTimeout = callerTimeout.compareTo(timeout) < 0 ? callerTimeout : timeout;
     boolean hasBody =
         request.getHeader("Content-Length") != null
             || request.getHeader("Transfer-Encoding") != null;
     return new Incoming(
         head,
         route,
-        target(route),
+        drawService(route),
         admitted.workspace(),
         request.method(),
         request.uri(),
@@ -177,22 +178,22 @@
         body,
         hasBody,
         arrived,
-        arrived.plus(held));
+        arrived.plus(effectiveTimeout));
   }
 
-  private String target(Route route) {
-    int total = route.targets().stream().mapToInt(Route.WeightedTarget::weight).sum();
-    int drawn = total > 0 ? random.nextInt(total) : 0;
+  private String drawService(Route route) {
+    int totalWeight = route.targets().stream().mapToInt(Route.WeightedTarget::weight).sum();
+    int position = totalWeight > 0 ? random.nextInt(totalWeight) : 0;
     for (Route.WeightedTarget target : route.targets()) {
-      drawn -= target.weight();
-      if (drawn < 0) {
+      position -= target.weight();
+      if (position < 0) {
         return target.service();
       }
     }
     return route.targets().get(0).service();
   }
 
-  /** A request from its head to the end of its answer. */
+  /** A request from the arrival of its head to the end of its answer. */
   private final class OpenRequest {
     private final HttpServerRequest request;
     private final Instant arrived;
@@ -209,30 +210,30 @@
     }
 
     void begin() {
-      open++;
+      openRequests++;
       connection.ifPresent(CallerConnection::requestBegan);
       request.response().endHandler(unused -> ended());
       if (admission.isStopping()) {
-        answer.closeAfterwards();
+        answer.closeConnectionAfterwards();
       }
     }
 
     private void ended() {
-      open--;
+      openRequests--;
       parts.held().give(heldBytes);
       connection.ifPresent(CallerConnection::requestEnded);
     }
 
-    /** Waits a moment for what a starting instance is reading. */
-    void awaitStart() {
+    /** Pauses the request until the instance is ready, for a limited time. */
+    void awaitReadiness() {
       request.pause();
-      waiting.add(this);
+      waitingRequests.add(this);
       parts
           .vertx()
           .setTimer(
-              START_PATIENCE.toMillis(),
+              READINESS_TIMEOUT.toMillis(),
               unused -> {
-                if (waiting.remove(this)) {
+                if (waitingRequests.remove(this)) {
                   proceed();
                 }
               });
@@ -255,7 +256,8 @@
       request.endHandler(
           unused -> {
             if (!answer.isEnded()) {
-              Exchange.start(parts, answer, incoming(request, head, admitted, body, arrived));
+              Exchange.start(
+                  parts, answer, admittedRequest(request, head, admitted, body, arrived));
             }
           });
     }
@@ -283,10 +285,10 @@
               "refused %s before any attempt: %s path=%s host=%s",
               refusal.reason().text(), refusal.detail(), request.path(), request.getHeader("Host"));
       if (refusal.reason() == RefusalReason.HEADER_INVALID) {
-        connection.ifPresent(CallerConnection::condemn);
+        connection.ifPresent(CallerConnection::markFramingInvalid);
       }
       if (!request.isEnded()) {
-        answer.closeAfterwards();
+        answer.closeConnectionAfterwards();
       }
       answer.refuse(refusal, requestId);
     }
--- a/org.oatlug/src/org/oatlug/internal/gateway/EventSplitter.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/EventSplitter.java
@@ -10,38 +10,39 @@
 import java.util.OptionalLong;
 
 /**
- * Cuts the bytes of an event stream into whole events.
+ * Splits the bytes of an event stream into complete events.
  *
- * <p>Invariant: the events returned, one after the other, are the bytes taken in up to the end of
- * the last whole event; what follows is kept until it is whole. Used from one event loop.
+ * <p>Invariant: the returned events, concatenated, are the bytes added up to the end of the last
+ * complete event; the bytes after it are kept until their event is complete. Used from one event
+ * loop.
  */
 public final class EventSplitter {
   private static final byte LINE_FEED = '\n';
   private static final byte CARRIAGE_RETURN = '\r';
   private static final String ID_FIELD = "id:";
 
-  private Buffer rest = Buffer.buffer();
-  private int scanned;
+  private Buffer pending = Buffer.buffer();
+  private int scannedLength;
 
   /**
-   * One whole event.
+   * A complete event.
    *
-   * @param bytes its bytes with the empty line that ends it
-   * @param id its number, empty if it has none
+   * @param bytes its bytes, including the empty line that ends it
+   * @param id its ID, empty if it has no numeric one
    */
   public record Event(Buffer bytes, OptionalLong id) {}
 
-  /** Takes bytes in and returns the events that became whole. */
+  /** Adds bytes and returns the events that are now complete. */
   public List<Event> add(Buffer bytes) {
-    rest.appendBuffer(bytes);
+    pending.appendBuffer(bytes);
     List<Event> events = new ArrayList<>();
     int start = 0;
-    int index = scanned;
-    while (index < rest.length()) {
+    int index = scannedLength;
+    while (index < pending.length()) {
       int end = eventEnd(index, start);
       if (end > 0) {
-        Buffer whole = rest.getBuffer(start, end);
-        events.add(new Event(whole, idOf(whole)));
+        Buffer event = pending.getBuffer(start, end);
+        events.add(new Event(event, idOf(event)));
         start = end;
         index = end;
       } else {
@@ -49,40 +50,40 @@
       }
     }
     if (start > 0) {
-      rest = rest.getBuffer(start, rest.length());
+      pending = pending.getBuffer(start, pending.length());
     }
-    scanned = Math.max(0, rest.length() - 1);
+    scannedLength = Math.max(0, pending.length() - 1);
     return events;
   }
 
-  /** Returns whether bytes of an event that is not whole are left. */
-  public boolean hasRest() {
-    return rest.length() > 0;
+  /** Returns whether bytes of an incomplete event are pending. */
+  public boolean hasPartialEvent() {
+    return pending.length() > 0;
   }
 
-  /** Returns the end of the event if an empty line ends at {@code index}, or 0. */
+  /** Returns the exclusive end of the event if an empty line ends at {@code index}, else 0. */
   private int eventEnd(int index, int start) {
-    if (rest.getByte(index) != LINE_FEED || index == start) {
+    if (pending.getByte(index) != LINE_FEED || index == start) {
       return 0;
     }
-    int before = index - 1;
-    if (rest.getByte(before) == CARRIAGE_RETURN) {
-      before--;
+    int previous = index - 1;
+    if (pending.getByte(previous) == CARRIAGE_RETURN) {
+      previous--;
     }
-    boolean emptyLine = before >= start && rest.getByte(before) == LINE_FEED;
+    boolean emptyLine = previous >= start && pending.getByte(previous) == LINE_FEED;
     return emptyLine ? index + 1 : 0;
   }
 
   private static OptionalLong idOf(Buffer event) {
     for (String line : event.toString(StandardCharsets.UTF_8).split("\r?\n")) {
       if (line.startsWith(ID_FIELD)) {
-        return number(line.substring(ID_FIELD.length()).trim());
+        return parseId(line.substring(ID_FIELD.length()).trim());
       }
     }
     return OptionalLong.empty();
   }
 
-  private static OptionalLong number(String text) {
+  private static OptionalLong parseId(String text) {
     try {
       return OptionalLong.of(Long.parseLong(text));
     } catch (NumberFormatException e) {
--- a/org.oatlug/src/org/oatlug/internal/gateway/Exchange.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/Exchange.java
@@ -21,82 +21,83 @@
 import org.oatlug.internal.engine.HeadForecast;
 
 /**
- * The way of one request: attempts at upstreams one after the other until one answers.
+ * Handles one admitted request: sends it to upstreams in turn until one of them answers.
  *
- * <p>Invariants: at most one attempt is open; a request that may not be repeated is not sent again
- * once it may have run; a refusal that says "not run" is only given while no upstream may have run
- * the request; the final answer comes at the deadline at the latest. Used from one event loop.
+ * <p>Invariants: at most one attempt is open; a request that is not repeatable is never resent once
+ * an upstream may have run it; a refusal that states "not run" is sent only while no upstream may
+ * have run the request; the final answer is sent no later than the deadline. Used from one event
+ * loop.
  */
 final class Exchange {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** When a refused caller may come back: about the time in which a place becomes free. */
-  private static final Duration COME_BACK = Duration.ofMillis(300);
+  /** The default retry delay of a refusal: about the time until a connection slot frees up. */
+  private static final Duration DEFAULT_RETRY_AFTER = Duration.ofMillis(300);
 
-  /** Below this an attempt cannot bring an answer any more. */
-  private static final Duration LEAST_TIME = Duration.ofMillis(30);
+  /** With less time left than this, an attempt cannot produce an answer. */
+  private static final Duration MINIMUM_ATTEMPT_TIME = Duration.ofMillis(30);
 
-  /** So many attempts may end before anything was written until the request is given up. */
-  private static final int MAXIMUM_UNSENT = 4;
+  /** The number of attempts without any written byte after which the request is refused. */
+  private static final int MAXIMUM_UNSENT_ATTEMPTS = 4;
 
   private static final long NO_TIMER = -1;
 
   private final GatewayParts parts;
   private final CallerAnswer answer;
-  private final Incoming incoming;
+  private final Incoming request;
   private final Route route;
-  private final Set<String> tried = new HashSet<>();
+  private final Set<String> triedUpstreams = new HashSet<>();
   private final StreamRelay relay;
-  private final CrashGuard.Guarded guarded;
+  private final CrashGuard.Guarded guardedRequest;
   private long deadlineTimer = NO_TIMER;
-  private int sent;
-  private int unsent;
+  private int attemptsSent;
+  private int attemptsNotSent;
   private int stage;
   private boolean mayHaveRun;
-  private Optional<String> lastFailed = Optional.empty();
-  private Optional<VersionRule.Wish> wish = Optional.empty();
+  private Optional<String> lastFailedVersion = Optional.empty();
+  private Optional<VersionRule.Wish> versionPreference = Optional.empty();
   private Optional<VersionBasis> firstBasis = Optional.empty();
-  private ExchangeAttempt current;
+  private ExchangeAttempt currentAttempt;
 
-  private Exchange(GatewayParts parts, CallerAnswer answer, Incoming incoming) {
+  private Exchange(GatewayParts parts, CallerAnswer answer, Incoming request) {
     this.parts = parts;
     this.answer = answer;
-    this.incoming = incoming;
-    this.route = incoming.route();
-    this.relay = StreamRelay.after(incoming.head().resumeAfter());
-    this.guarded = parts.crashes().guard(incoming);
+    this.request = request;
+    this.route = request.route();
+    this.relay = StreamRelay.after(request.head().resumeAfter());
+    this.guardedRequest = parts.crashes().guard(request);
   }
 
-  /** Starts the way of a request. */
-  static void start(GatewayParts parts, CallerAnswer answer, Incoming incoming) {
-    new Exchange(parts, answer, incoming).start();
+  /** Starts handling a request. */
+  static void start(GatewayParts parts, CallerAnswer answer, Incoming request) {
+    new Exchange(parts, answer, request).start();
   }
 
   private void start() {
-    if (isRefusedAsCrashing()) {
+    if (refuseIfCrashing()) {
       return;
     }
-    deadlineTimer = parts.deadlines().at(incoming.deadline(), this::deadlinePassed);
-    answer.onGone(this::callerGone);
-    parts.budgets().of(incoming.service()).firstTry();
+    deadlineTimer = parts.deadlines().schedule(request.deadline(), this::deadlinePassed);
+    answer.onDisconnect(this::callerDisconnected);
+    parts.budgets().of(request.service()).firstTry();
     stage = route.isCascade() ? parts.stages().first(route) : 0;
     parts.turns().enter(this);
   }
 
-  /** Sends the request to its first upstream; returns whether it could still be served. */
+  /** Sends the request to its first upstream; returns false if it could no longer be served. */
   boolean begin() {
     if (answer.isEnded()) {
       return false;
     }
-    if (answer.isCallerGone()) {
+    if (answer.isCallerDisconnected()) {
       parts.meters().count("request.withheld-caller-left");
       return false;
     }
-    if (!hasTime()) {
+    if (!hasTimeForAttempt()) {
       deadlinePassed();
       return false;
     }
-    next();
+    sendToNextUpstream();
     return true;
   }
 
@@ -108,45 +109,49 @@
     return answer;
   }
 
-  Incoming incoming() {
-    return incoming;
+  Incoming request() {
+    return request;
   }
 
-  /** Returns the events that were handed on, by all attempts together. */
+  /** Returns the relay of the event stream, which all attempts share. */
   StreamRelay relay() {
     return relay;
   }
 
-  /** Returns how many attempts may have reached an upstream. */
-  int sent() {
-    return sent;
+  /** Returns the number of attempts that may have reached an upstream. */
+  int attemptsSent() {
+    return attemptsSent;
   }
 
-  /** Returns how long the caller still waits. */
-  Duration timeLeft() {
-    return Duration.between(parts.clock().instant(), incoming.deadline());
+  /** Returns the time left until the deadline of the request; negative after it. */
+  Duration remainingTime() {
+    return Duration.between(parts.clock().instant(), request.deadline());
   }
 
-  /** Returns the guard's view of the request. */
-  CrashGuard.Guarded guarded() {
-    return guarded;
+  /** Returns the crash guard's state of the request. */
+  CrashGuard.Guarded guardedRequest() {
+    return guardedRequest;
   }
 
-  /** Refuses the request if upstreams end under it; what is known cannot change by a wait. */
-  private boolean isRefusedAsCrashing() {
-    Optional<Duration> comeBack = guarded.refusedFor();
-    comeBack.ifPresent(
-        wait -> {
-          String text = ErrorText.format(ErrorText.get().crashesUpstreams, guarded.ended().size());
-          log().log("request is %s, upstreams that ended under it %s", guarded, guarded.ended());
-          giveUp(RefusalReason.CRASHES_UPSTREAMS, text, wait);
+  /** Refuses the request if it is known to crash upstreams; returns whether it was refused. */
+  private boolean refuseIfCrashing() {
+    Optional<Duration> retryAfter = guardedRequest.refusedFor();
+    retryAfter.ifPresent(
+        delay -> {
+          String text =
+              ErrorText.format(ErrorText.get().crashesUpstreams, guardedRequest.ended().size());
+          log()
+              .log(
+                  "refusing request %s, upstreams that it crashed: %s",
+                  guardedRequest, guardedRequest.ended());
+          giveUp(RefusalReason.CRASHES_UPSTREAMS, text, delay);
         });
-    return comeBack.isPresent();
+    return retryAfter.isPresent();
   }
 
-  /** Sends the request to the next upstream, or gives it up if there is none. */
-  void next() {
-    if (isRefusedAsCrashing()) {
+  /** Sends the request to the next upstream, or refuses it if there is none. */
+  void sendToNextUpstream() {
+    if (refuseIfCrashing()) {
       return;
     }
     Optional<UpstreamSelection.Chosen> chosen = choose(model());
@@ -154,11 +159,11 @@
       giveUpWithoutUpstream();
       return;
     }
-    attempt(chosen.get());
+    startAttempt(chosen.get());
   }
 
   private void giveUpWithoutUpstream() {
-    String service = incoming.service();
+    String service = request.service();
     RefusalReason reason =
         parts.selection().standing().reasonOfNone(service, parts.clock().instant());
     String pattern =
@@ -171,164 +176,172 @@
         };
     String text = ErrorText.format(pattern, service);
     if (reason == RefusalReason.UPSTREAMS_LIMITED) {
-      giveUp(reason, text, paced(service));
+      giveUp(reason, text, retryAfterAtAcceptedRate(service));
     } else {
       giveUp(reason, text);
     }
   }
 
-  private Duration paced(String service) {
+  private Duration retryAfterAtAcceptedRate(String service) {
     double accepted = parts.rates().advertisedOf(service);
     return parts.spread().paced(service, accepted, parts.clock().instant());
   }
 
-  private void attempt(UpstreamSelection.Chosen chosen) {
-    wish.ifPresent(one -> noteVersion(one, chosen.upstream().version()));
-    current = new ExchangeAttempt(this, chosen, model());
-    current.send();
+  private void startAttempt(UpstreamSelection.Chosen chosen) {
+    versionPreference.ifPresent(
+        preference -> logVersionChoice(preference, chosen.upstream().version()));
+    currentAttempt = new ExchangeAttempt(this, chosen, model());
+    currentAttempt.send();
   }
 
-  /** Says why the request goes to this version, while a roll-out runs. */
-  private void noteVersion(VersionRule.Wish known, String version) {
-    boolean met = known.isMetBy(version);
-    if (!met) {
+  /** Logs why the request is sent to this version during a roll-out. */
+  private void logVersionChoice(VersionRule.Wish preference, String version) {
+    boolean satisfied = preference.isMetBy(version);
+    if (!satisfied) {
       parts.meters().count("version.wish-not-met");
     }
-    known
+    preference
         .basis()
         .ifPresent(
             basis ->
                 log()
                     .log(
                         "version %s %s wanted=%b met=%b failed=%s",
-                        version, basis, known.wanted(), met, lastFailed.orElse("-")));
+                        version,
+                        basis,
+                        preference.wanted(),
+                        satisfied,
+                        lastFailedVersion.orElse("-")));
   }
 
   private Optional<UpstreamSelection.Chosen> choose(Optional<String> model) {
-    VersionRule.Tried before = new VersionRule.Tried(lastFailed, firstBasis);
-    wish = parts.versions().wishFor(incoming.service(), incoming.head(), before);
-    firstBasis = firstBasis.or(() -> wish.flatMap(VersionRule.Wish::basis));
-    Optional<UpstreamSelection.Chosen> untried = chooseBut(model, tried);
-    if (untried.isPresent() || current == null || !route.isRepeatable()) {
+    VersionRule.Tried history = new VersionRule.Tried(lastFailedVersion, firstBasis);
+    versionPreference = parts.versions().wishFor(request.service(), request.head(), history);
+    firstBasis = firstBasis.or(() -> versionPreference.flatMap(VersionRule.Wish::basis));
+    Optional<UpstreamSelection.Chosen> untried = chooseExcluding(model, triedUpstreams);
+    if (untried.isPresent() || currentAttempt == null || !route.isRepeatable()) {
       return untried;
     }
-    return chooseBut(model, Set.of(current.upstreamName()));
+    return chooseExcluding(model, Set.of(currentAttempt.upstreamName()));
   }
 
-  private Optional<UpstreamSelection.Chosen> chooseBut(
+  private Optional<UpstreamSelection.Chosen> chooseExcluding(
       Optional<String> model, Set<String> excluded) {
     UpstreamSelection.Wanted wanted =
         new UpstreamSelection.Wanted(
-            incoming.service(),
-            wish,
+            request.service(),
+            versionPreference,
             model,
-            incoming.head().generation(),
-            incoming.body().length(),
+            request.head().generation(),
+            request.body().length(),
             Set.copyOf(excluded),
-            guarded.isSuspect());
+            guardedRequest.isSuspect());
     return parts.selection().choose(wanted, parts.clock().instant());
   }
 
-  /** Returns what the request says of itself. */
+  /** Returns the generation parameters of the request, if it has any, else the unknown ones. */
   Generation generation() {
-    return incoming.head().generation().orElse(Generation.UNKNOWN);
+    return request.head().generation().orElse(Generation.UNKNOWN);
   }
 
-  /** Returns how long the caller has waited. */
+  /** Returns the time since the request arrived. */
   Duration elapsed() {
-    return Duration.between(incoming.arrived(), parts.clock().instant());
+    return Duration.between(request.arrived(), parts.clock().instant());
   }
 
   private Optional<String> model() {
     return route.isCascade() ? Optional.of(route.models().get(stage)) : Optional.empty();
   }
 
-  /** Notes that an attempt goes out to the upstream. */
-  void noteSent(String upstream) {
-    sent++;
-    tried.add(upstream);
+  /** Records that an attempt is being sent to the upstream. */
+  void recordAttempt(String upstream) {
+    attemptsSent++;
+    triedUpstreams.add(upstream);
   }
 
-  /** Notes that an upstream may have run the request. */
-  void noteMayHaveRun() {
+  /** Records that an upstream may have run the request. */
+  void markMayHaveRun() {
     mayHaveRun = true;
   }
 
-  /** Notes which version failed the request last. */
-  void noteFailedVersion(String version) {
-    lastFailed = Optional.of(version);
+  /** Records the version that failed the request last. */
+  void recordFailedVersion(String version) {
+    lastFailedVersion = Optional.of(version);
   }
 
   /**
-   * Goes on after an attempt of which nothing was written; that takes no retry out of the budget.
+   * Continues after an attempt of which nothing was written. Such an attempt costs no retry budget.
    *
-   * @param cause the counter of its cause
+   * @param cause the counter to increment
    */
-  void notSent(String cause) {
-    sent--;
-    unsent++;
+  void retryUnsent(String cause) {
+    attemptsSent--;
+    attemptsNotSent++;
     parts.meters().count(cause);
-    if (unsent < MAXIMUM_UNSENT && timeLeft().compareTo(LEAST_TIME) > 0) {
-      next();
+    if (attemptsNotSent < MAXIMUM_UNSENT_ATTEMPTS
+        && remainingTime().compareTo(MINIMUM_ATTEMPT_TIME) > 0) {
+      sendToNextUpstream();
     } else {
       giveUp(RefusalReason.NO_UPSTREAM, ErrorText.get().upstreamBroke);
     }
   }
 
   /**
-   * A model of the cascade that is worth asking, and the upstream to ask.
+   * A model of the cascade to try instead, and the upstream that serves it.
    *
-   * @param stage the place of the model in the cascade
+   * @param stage the index of the model in the cascade
    * @param chosen the upstream
    */
   record Replacement(int stage, UpstreamSelection.Chosen chosen) {}
 
-  /** Returns what to ask instead of taking an answer of this confidence, empty to take it. */
-  Optional<Replacement> replacementOf(int confidence) {
-    Map<String, Optional<UpstreamSelection.Chosen>> known = new HashMap<>();
-    Function<String, Optional<UpstreamSelection.Chosen>> best =
-        name -> known.computeIfAbsent(name, other -> choose(Optional.of(other)));
-    StageRule.Poor poor =
+  /** Returns the replacement for an answer of this confidence, or empty to accept the answer. */
+  Optional<Replacement> replacementFor(int confidence) {
+    Map<String, Optional<UpstreamSelection.Chosen>> choices = new HashMap<>();
+    Function<String, Optional<UpstreamSelection.Chosen>> upstreamOf =
+        name -> choices.computeIfAbsent(name, modelName -> choose(Optional.of(modelName)));
+    StageRule.Poor droppableAnswer =
         new StageRule.Poor(
             route,
-            incoming.service(),
+            request.service(),
             generation(),
             stage,
             confidence,
             elapsed(),
             name ->
-                best.apply(name)
+                upstreamOf
+                    .apply(name)
                     .map(UpstreamSelection.Chosen::forecast)
                     .orElse(HeadForecast.NEVER));
-    OptionalInt instead = parts.stages().insteadOf(poor);
-    if (instead.isEmpty()) {
+    OptionalInt replacementStage = parts.stages().insteadOf(droppableAnswer);
+    if (replacementStage.isEmpty()) {
       return Optional.empty();
     }
-    return best.apply(route.models().get(instead.getAsInt()))
-        .map(chosen -> new Replacement(instead.getAsInt(), chosen));
+    return upstreamOf
+        .apply(route.models().get(replacementStage.getAsInt()))
+        .map(chosen -> new Replacement(replacementStage.getAsInt(), chosen));
   }
 
-  /** Goes on with another model of the cascade. */
-  void nextAt(Replacement replacement) {
-    if (isRefusedAsCrashing()) {
+  /** Sends the request to another model of the cascade. */
+  void sendToReplacement(Replacement replacement) {
+    if (refuseIfCrashing()) {
       return;
     }
     stage = replacement.stage();
-    attempt(replacement.chosen());
+    startAttempt(replacement.chosen());
   }
 
   /**
-   * Returns whether the request may be sent once more, and takes the retry out of the budget then.
+   * Takes a retry from the budget; returns false if the request may not be sent again.
    *
-   * @param cause the word under which the retry is counted
+   * @param cause the suffix of the counter of the retry
    */
-  boolean mayTryAgain(String cause) {
-    boolean inTime = timeLeft().compareTo(LEAST_TIME) > 0;
-    if (sent >= route.maximumAttempts() || !inTime) {
+  boolean tryAcquireRetry(String cause) {
+    boolean timeRemains = remainingTime().compareTo(MINIMUM_ATTEMPT_TIME) > 0;
+    if (attemptsSent >= route.maximumAttempts() || !timeRemains) {
       parts.meters().count("retry.no-attempt-left");
       return false;
     }
-    if (!parts.budgets().of(incoming.service()).takeRetry()) {
+    if (!parts.budgets().of(request.service()).takeRetry()) {
       parts.meters().count("retry.not-in-budget");
       return false;
     }
@@ -336,22 +349,22 @@
     return true;
   }
 
-  /** Refuses the request; says "not run" only while no upstream may have run it. */
+  /** Refuses the request; states "not run" only while no upstream may have run it. */
   void giveUp(RefusalReason reason, String text) {
-    giveUp(reason, text, rested().orElse(COME_BACK));
+    giveUp(reason, text, retryAfterBackOff().orElse(DEFAULT_RETRY_AFTER));
   }
 
-  private void giveUp(RefusalReason reason, String text, Duration comeBack) {
+  private void giveUp(RefusalReason reason, String text, Duration retryAfter) {
     Refusal refusal =
         mayHaveRun
             ? Refusal.unknown(RefusalReason.UPSTREAM_FAILED, text)
-            : Refusal.retryAfter(reason, text, comeBack);
+            : Refusal.retryAfter(reason, text, retryAfter);
     refuse(refusal);
   }
 
-  /** Gives the request up after its last upstream refused it. */
-  void giveUpAsRefused() {
-    if (rested().isPresent()) {
+  /** Refuses the request after the last upstream refused it. */
+  void giveUpAfterRefusal() {
+    if (retryAfterBackOff().isPresent()) {
       giveUpWithoutUpstream();
     } else {
       giveUp(RefusalReason.UPSTREAM_REFUSED, ErrorText.get().upstreamRefused);
@@ -359,65 +372,65 @@
   }
 
   /**
-   * Returns when callers may come back while all upstreams want rest: from the soonest end on,
-   * spread, so that they do not all return at that moment and are refused anew.
+   * Returns the retry delay while all upstreams ask to back off: the time until the first of them
+   * accepts requests again, spread so that callers do not all return at once and are refused again.
    */
-  private Optional<Duration> rested() {
+  private Optional<Duration> retryAfterBackOff() {
     return parts
         .selection()
         .standing()
-        .soonestRested(incoming.service(), parts.clock().instant())
+        .soonestRested(request.service(), parts.clock().instant())
         .map(parts.spread()::after);
   }
 
   private void refuse(Refusal refusal) {
     finish("refused " + refusal.reason().text() + ": " + refusal.detail());
     parts.meters().refused(refusal.reason());
-    answer.refuse(refusal, incoming.head().id());
+    answer.refuse(refusal, request.head().id());
   }
 
-  /** Notes that the way ends, before its answer does. */
+  /** Records the outcome of the request; called before its answer is ended. */
   void finish(String outcome) {
     parts.deadlines().cancel(deadlineTimer);
-    Duration took = elapsed();
-    parts.meters().time("request." + route.kind().name().toLowerCase(Locale.ROOT), took);
+    Duration duration = elapsed();
+    parts.meters().time("request." + route.kind().name().toLowerCase(Locale.ROOT), duration);
     log()
         .log(
             "request ended route=%s outcome=%s sent=%d stage=%d events=%d millis=%d",
-            route.name(), outcome, sent, stage, relay.events(), took.toMillis());
+            route.name(), outcome, attemptsSent, stage, relay.eventCount(), duration.toMillis());
   }
 
-  /** Returns a log line about the request, within the bound of such lines. */
+  /** Returns a log statement for the request, subject to the rate limit of such statements. */
   FluentLogger.Api log() {
-    return parts.logLimit().line(logger, incoming.head().id());
+    return parts.logLimit().line(logger, request.head().id());
   }
 
-  /** Returns whether an attempt can still bring an answer. */
-  boolean hasTime() {
-    return timeLeft().compareTo(LEAST_TIME) >= 0;
+  /** Returns whether enough time is left for an attempt to produce an answer. */
+  boolean hasTimeForAttempt() {
+    return remainingTime().compareTo(MINIMUM_ATTEMPT_TIME) >= 0;
   }
 
-  /** Ends the request, whose time is over. */
+  /** Refuses the request because its deadline has passed. */
   void deadlinePassed() {
     if (answer.isEnded()) {
       return;
     }
-    boolean ran = mayHaveRun || current != null && current.isOpen();
-    if (current != null) {
-      current.abandon();
+    boolean possiblyRan = mayHaveRun || currentAttempt != null && currentAttempt.isOpen();
+    if (currentAttempt != null) {
+      currentAttempt.abandon();
     }
     String text = ErrorText.get().deadlinePassed;
     refuse(
-        ran
+        possiblyRan
             ? Refusal.unknown(RefusalReason.DEADLINE_PASSED, text)
-            : Refusal.retryAfter(RefusalReason.OVERLOADED, text, COME_BACK));
+            : Refusal.retryAfter(RefusalReason.OVERLOADED, text, DEFAULT_RETRY_AFTER));
   }
 
-  private void callerGone() {
-    if (current != null) {
-      current.abandon();
+  private void callerDisconnected() {
+    if (currentAttempt != null) {
+      currentAttempt.abandon();
     }
-    finish("caller gone");
+    finish("caller disconnected");
     parts.meters().count("request.caller-gone");
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/ExchangeAttempt.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/ExchangeAttempt.java
@@ -24,56 +24,56 @@
 import org.oatlug.internal.routing.Urgency;
 
 /**
- * One attempt of an exchange at one upstream, and what becomes of its answer.
+ * One attempt of an exchange at one upstream, and the handling of its answer.
  *
- * <p>The connection is the link's matter; this class says whether the answer is taken, dropped or
- * asked for again; what is learned from it is the matter of {@link AttemptFeedback}. Invariant: an
- * answer that was begun towards the caller goes on only with the events that follow. Used from one
- * event loop.
+ * <p>{@link UpstreamAttempt} owns the connection; this class decides whether the answer is
+ * accepted, dropped or requested again; {@link AttemptFeedback} records what the attempt reveals
+ * about the upstream. Invariant: once an answer to the caller has begun, it continues only with the
+ * events that follow. Used from one event loop.
  */
 final class ExchangeAttempt implements UpstreamAttempt.Listener {
-  private static final String EVENT_STREAM = "text/event-stream";
+  private static final String EVENT_STREAM_TYPE = "text/event-stream";
   private static final int FIRST_SERVER_ERROR = 500;
   private static final int OK = 200;
 
   private final Exchange exchange;
   private final GatewayParts parts;
-  private final Incoming incoming;
+  private final Incoming request;
   private final Route route;
   private final CallerAnswer answer;
   private final StreamRelay relay;
   private final UpstreamSelection.Chosen chosen;
   private final Optional<String> model;
   private final AttemptFeedback feedback;
-  private final PlainAnswer plain;
-  private final SilenceWatch watch;
-  private final StreamPace pace = new StreamPace();
+  private final BufferedAnswer bufferedAnswer;
+  private final SilenceWatch silenceWatch;
+  private final StreamPace streamPace = new StreamPace();
   private final MultiMap headers = MultiMap.caseInsensitiveMultiMap();
-  private UpstreamAttempt link;
+  private UpstreamAttempt connection;
   private HttpClientResponse response;
   private boolean streaming;
   private boolean released;
-  private boolean alone;
+  private boolean runsExclusively;
 
   ExchangeAttempt(Exchange exchange, UpstreamSelection.Chosen chosen, Optional<String> model) {
     this.exchange = exchange;
     this.parts = exchange.parts();
-    this.incoming = exchange.incoming();
-    this.route = incoming.route();
+    this.request = exchange.request();
+    this.route = request.route();
     this.answer = exchange.answer();
     this.relay = exchange.relay();
     this.chosen = chosen;
     this.model = model;
-    this.feedback = new AttemptFeedback(parts, incoming, chosen, model);
-    this.plain = PlainAnswer.create(parts, answer);
-    this.watch = SilenceWatch.create(parts, this::patience, this::askElsewhere);
+    this.feedback = new AttemptFeedback(parts, request, chosen, model);
+    this.bufferedAnswer = BufferedAnswer.create(parts, answer);
+    this.silenceWatch = SilenceWatch.create(parts, this::silenceTimeout, this::retryElsewhere);
   }
 
   String upstreamName() {
     return chosen.name();
   }
 
-  /** Returns whether neither a result nor its end has come. */
+  /** Returns whether the attempt has neither produced a result nor ended. */
   boolean isOpen() {
     return !released;
   }
@@ -81,17 +81,17 @@
   /** Sends the request to the upstream. */
   void send() {
     feedback.begin();
-    exchange.noteSent(chosen.name());
-    alone = exchange.guarded().isSuspect();
-    if (alone) {
-      exchange.guarded().runsAlone(chosen.name());
+    exchange.recordAttempt(chosen.name());
+    runsExclusively = exchange.guardedRequest().isSuspect();
+    if (runsExclusively) {
+      exchange.guardedRequest().runsAlone(chosen.name());
     }
-    headers.addAll(incoming.headers());
+    headers.addAll(request.headers());
     parts.adapter().upstreams().addTerms(headers, terms());
     logSent();
-    link = UpstreamAttempt.start(parts.client(), call(), this);
+    connection = UpstreamAttempt.start(parts.client(), outgoingRequest(), this);
     if (route.isRepeatable() && !released) {
-      watch.start();
+      silenceWatch.start();
     }
   }
 
@@ -100,248 +100,251 @@
     exchange.log().log(
         "attempt=%d route=%s upstream=%s revision=%s version=%s model=%s load=%d left=%d after=%s"
             + " unread=%.0f waiting=%.0f expected=%d",
-        exchange.sent(),
+        exchange.attemptsSent(),
         route.name(),
         chosen.name(),
         parts.tables().revisionOf(chosen.name()),
         chosen.upstream().version(),
         model.orElse("-"),
         chosen.row().expectedLoad(),
-        exchange.timeLeft().toMillis(),
-        relay.last(),
+        exchange.remainingTime().toMillis(),
+        relay.lastEventId(),
         forecast.unreadTokens(),
         forecast.waitingMillis(),
         forecast.timeToHead().toMillis());
   }
 
-  private UpstreamAttempt.Call call() {
+  private UpstreamAttempt.OutgoingRequest outgoingRequest() {
     SocketAddress address =
         SocketAddress.inetSocketAddress(chosen.upstream().port(), chosen.upstream().host());
-    return new UpstreamAttempt.Call(
-        address, incoming.method(), incoming.uri(), headers, incoming.body(), incoming.hasBody());
+    return new UpstreamAttempt.OutgoingRequest(
+        address, request.method(), request.uri(), headers, request.body(), request.hasBody());
   }
 
-  /** Returns how long the upstream may be silent now. */
-  private Duration patience() {
+  /** Returns the current silence timeout of the upstream. */
+  private Duration silenceTimeout() {
     return response == null ? feedback.headPatience() : feedback.pausePatience();
   }
 
-  /** Ends the attempt at an upstream that is silent for too long, if another one may be asked. */
-  private void askElsewhere() {
-    if (!plain.isHandedOn() && exchange.mayTryAgain("upstream-silent")) {
+  /** Abandons the attempt after the silence timeout, if the request may be sent elsewhere. */
+  private void retryElsewhere() {
+    if (!bufferedAnswer.isForwarded() && exchange.tryAcquireRetry("upstream-silent")) {
       abandon();
-      describe("silent");
+      logEvent("silent");
       feedback.failed();
-      exchange.noteMayHaveRun();
-      noteOutcome(true);
-      relay.nextUpstream();
-      exchange.next();
+      exchange.markMayHaveRun();
+      recordOutcome(true);
+      relay.resetForNextUpstream();
+      exchange.sendToNextUpstream();
     }
   }
 
   private AttemptTerms terms() {
     return new AttemptTerms(
         chosen.name(),
-        incoming.workspace().map(WorkspaceKeys::name),
-        exchange.timeLeft(),
+        request.workspace().map(WorkspaceKeys::name),
+        exchange.remainingTime(),
         model,
-        relay.last(),
+        relay.lastEventId(),
         OptionalInt.of(priority()));
   }
 
   private int priority() {
-    int wanted = incoming.workspace().flatMap(WorkspaceKeys::priority).orElse(route.priority());
-    return Urgency.of(wanted, chosen.forecast(), route.goalMillis());
+    int basePriority =
+        request.workspace().flatMap(WorkspaceKeys::priority).orElse(route.priority());
+    return Urgency.of(basePriority, chosen.forecast(), route.goalMillis());
   }
 
-  /** Ends the attempt without a result. */
+  /** Ends the attempt without a result and closes its connection. */
   void abandon() {
     release();
-    if (link != null) {
-      link.cancel();
+    if (connection != null) {
+      connection.cancel();
     }
   }
 
   private void release() {
     if (!released) {
       released = true;
-      if (alone) {
-        exchange.guarded().isOver();
+      if (runsExclusively) {
+        exchange.guardedRequest().isOver();
       }
       feedback.end();
-      plain.release();
-      watch.stop();
+      bufferedAnswer.release();
+      silenceWatch.stop();
     }
   }
 
   /**
-   * Looks at the caller and at the entry of the upstream once more. The caller of a busy instance
-   * may have left unnoticed, and its request would be sent on for nobody. The upstream may have
-   * begun to leave or asked for rest while the connection was opened, which takes long in a process
-   * that stood still.
+   * Checks the caller and the state of the upstream again before the request is written. On a busy
+   * instance the disconnect of the caller may not have been processed yet, and nobody would receive
+   * the answer. The upstream may have begun to drain or asked to back off while the connection was
+   * opened, which takes long in a process that was suspended.
    */
   @Override
   public boolean maySend() {
-    if (answer.isCallerGone()) {
+    if (answer.isCallerDisconnected()) {
       release();
-      describe("withheld, the caller left");
+      logEvent("withheld, the caller disconnected");
       parts.meters().count("request.withheld-caller-left");
       return false;
     }
-    if (!exchange.hasTime()) {
+    if (!exchange.hasTimeForAttempt()) {
       release();
-      describe("withheld, too little time is left");
+      logEvent("withheld, too little time is left");
       exchange.deadlinePassed();
       return false;
     }
-    if (exchange.guarded().verdict() == Verdict.REFUSED) {
-      return withhold("upstreams end under it", "crashes-upstreams");
+    if (exchange.guardedRequest().verdict() == Verdict.REFUSED) {
+      return withhold("the request crashes upstreams", "crashes-upstreams");
     }
-    Optional<Out> out =
+    Optional<Out> exclusion =
         parts.selection().standing().turnedOut(chosen.name(), parts.clock().instant());
-    if (out.isEmpty()) {
-      out = feedback.write();
+    if (exclusion.isEmpty()) {
+      exclusion = feedback.write();
     }
-    if (out.isPresent()) {
-      return withhold(out.get().reason(), out.get().cause());
+    if (exclusion.isPresent()) {
+      return withhold(exclusion.get().reason(), exclusion.get().cause());
     }
-    // The host may have been suspended while the connection was opened.
+    // Updates the remaining time: the host may have been suspended since the first call.
     parts.adapter().upstreams().addTerms(headers, terms());
     return true;
   }
 
-  /** Ends the attempt before anything is written, and goes elsewhere. */
+  /** Ends the attempt before anything is written, and tries another upstream. */
   private boolean withhold(String reason, String cause) {
     release();
-    describe("withheld, " + reason);
-    exchange.notSent("retry." + cause);
+    logEvent("withheld, " + reason);
+    exchange.retryUnsent("retry." + cause);
     return false;
   }
 
   @Override
-  public void head(HttpClientResponse received) {
+  public void headReceived(HttpClientResponse received) {
     response = received;
-    heard();
+    activityReceived();
     AnswerHead head = parts.adapter().upstreams().read(received);
     feedback.headCame(head);
-    if (!head.requestId().equals(Optional.of(incoming.head().id()))) {
-      link.cancel();
-      failed(Progress.ANSWERING, "the answer is to another request");
+    if (!head.requestId().equals(Optional.of(request.head().id()))) {
+      connection.cancel();
+      failed(Progress.ANSWERING, "the answer belongs to another request");
       return;
     }
     if (head.verdict() != AnswerHead.Verdict.RAN) {
-      refusedByUpstream(head);
+      handleRefusal(head);
       return;
     }
     boolean failure = head.status() >= FIRST_SERVER_ERROR;
-    noteOutcome(failure);
+    recordOutcome(failure);
     if (!failure) {
-      describeBegin();
+      logAnswerBegin();
       feedback.speed();
     }
-    if (failure && isReplacedAfterFailure(head)) {
+    if (failure && retryAfterFailure(head)) {
       return;
     }
-    if (!failure && isDroppedAsPoor(head)) {
+    if (!failure && replaceWithOtherModel(head)) {
       return;
     }
     accept(head);
   }
 
-  private void describeBegin() {
+  private void logAnswerBegin() {
     HeadForecast forecast = chosen.forecast();
     if (!forecast.equals(HeadForecast.NONE)) {
-      describe("begins expected=" + forecast.timeToHead().toMillis());
+      logEvent("answer begins expected=" + forecast.timeToHead().toMillis());
     }
   }
 
-  private void refusedByUpstream(AnswerHead head) {
+  private void handleRefusal(AnswerHead head) {
     abandon();
-    boolean moved = head.verdict() == AnswerHead.Verdict.WRONG_UPSTREAM;
-    if (moved) {
+    boolean wrongUpstream = head.verdict() == AnswerHead.Verdict.WRONG_UPSTREAM;
+    if (wrongUpstream) {
       chosen.row().markLeaving();
     } else {
       feedback.refused();
     }
-    describe(
+    logEvent(
         "refused by upstream status="
             + head.status()
             + head.rest().map(rest -> " rest=" + rest.toMillis()).orElse(""));
-    if (exchange.mayTryAgain(moved ? "upstream-moved" : "upstream-refused")) {
-      exchange.next();
+    if (exchange.tryAcquireRetry(wrongUpstream ? "upstream-moved" : "upstream-refused")) {
+      exchange.sendToNextUpstream();
     } else {
-      exchange.giveUpAsRefused();
+      exchange.giveUpAfterRefusal();
     }
   }
 
-  /** Returns whether a failure of the upstream was dealt with by another attempt. */
-  private boolean isReplacedAfterFailure(AnswerHead head) {
-    exchange.noteMayHaveRun();
+  /** Starts another attempt after a failure of the upstream; returns whether it did. */
+  private boolean retryAfterFailure(AnswerHead head) {
+    exchange.markMayHaveRun();
     feedback.failed();
     if (!route.isRepeatable()) {
       return false;
     }
-    if (!exchange.mayTryAgain("upstream-status")) {
+    if (!exchange.tryAcquireRetry("upstream-status")) {
       return false;
     }
     abandon();
-    describe("failed status=" + head.status());
-    exchange.next();
+    logEvent("failed status=" + head.status());
+    exchange.sendToNextUpstream();
     return true;
   }
 
-  /** Returns whether the answer was dropped because a larger model shall answer. */
-  private boolean isDroppedAsPoor(AnswerHead head) {
-    boolean mayDrop = route.isCascade() && route.isRepeatable() && !answer.isBegun();
-    if (!mayDrop || head.confidence().isEmpty()) {
+  /** Drops a low-confidence answer and tries another model; returns whether it did. */
+  private boolean replaceWithOtherModel(AnswerHead head) {
+    boolean replaceable = route.isCascade() && route.isRepeatable() && !answer.isBegun();
+    if (!replaceable || head.confidence().isEmpty()) {
       return false;
     }
     int confidence = head.confidence().getAsInt();
-    Optional<Exchange.Replacement> instead = exchange.replacementOf(confidence);
-    if (instead.isEmpty() || !exchange.mayTryAgain("larger-model")) {
+    Optional<Exchange.Replacement> replacement = exchange.replacementFor(confidence);
+    if (replacement.isEmpty() || !exchange.tryAcquireRetry("larger-model")) {
       return false;
     }
-    exchange.noteMayHaveRun();
+    exchange.markMayHaveRun();
     feedback.succeeded();
     abandon();
-    describe("dropped confidence=" + confidence);
-    exchange.nextAt(instead.get());
+    logEvent("dropped confidence=" + confidence);
+    exchange.sendToReplacement(replacement.get());
     return true;
   }
 
   private void accept(AnswerHead head) {
-    exchange.noteMayHaveRun();
-    String type = response.getHeader("Content-Type");
+    exchange.markMayHaveRun();
+    String contentType = response.getHeader("Content-Type");
     streaming =
         route.kind() == RouteKind.STREAM
             && head.status() == OK
-            && type != null
-            && type.startsWith(EVENT_STREAM);
+            && contentType != null
+            && contentType.startsWith(EVENT_STREAM_TYPE);
     if (answer.isBegun() && !streaming) {
-      link.cancel();
-      failed(Progress.ANSWERING, "no stream follows, status=" + head.status());
+      connection.cancel();
+      failed(Progress.ANSWERING, "expected an event stream, status=" + head.status());
     }
   }
 
-  /** Notes a sign of life, and how long the stream paused before it. */
-  private void heard() {
-    Duration pause = watch.heard();
+  /** Records activity of the upstream, and the pause of the stream before it. */
+  private void activityReceived() {
+    Duration pause = silenceWatch.recordActivity();
     if (streaming) {
       feedback.paused(pause);
     }
   }
 
   @Override
-  public void data(Buffer data) {
-    heard();
+  public void dataReceived(Buffer data) {
+    activityReceived();
     if (!streaming) {
-      plain.take(response, data, this::write);
+      bufferedAnswer.append(response, data, this::write);
       return;
     }
-    long before = relay.events();
+    long countBefore = relay.eventCount();
     Buffer events = relay.take(data);
     if (events.length() > 0) {
-      pace.add(relay.events() - before, parts.clock().instant()).ifPresent(feedback::pace);
+      streamPace
+          .add(relay.eventCount() - countBefore, parts.clock().instant())
+          .ifPresent(feedback::pace);
       beginStream();
       write(events);
     }
@@ -349,15 +352,15 @@
 
   private void write(Buffer data) {
     if (answer.write(data, this::drained)) {
-      pace.spoil();
-      watch.pause();
-      link.pause();
+      streamPace.spoil();
+      silenceWatch.pause();
+      connection.pause();
     }
   }
 
   private void drained() {
-    watch.resume();
-    link.resume();
+    silenceWatch.resume();
+    connection.resume();
   }
 
   private void beginStream() {
@@ -371,31 +374,34 @@
   }
 
   @Override
-  public void whole() {
-    if (streaming && relay.endsInsideEvent()) {
-      failed(Progress.ANSWERING, "the stream ends inside an event");
+  public void completed() {
+    if (streaming && relay.hasPartialEvent()) {
+      failed(Progress.ANSWERING, "the stream ended inside an event");
       return;
     }
     release();
-    if (hasOwnEnd()) {
-      exchange.guarded().endedWell();
+    if (isDelimited()) {
+      exchange.guardedRequest().endedWell();
     }
     if (response.statusCode() < FIRST_SERVER_ERROR) {
       feedback.succeeded();
     }
     if (streaming) {
-      pace.end().ifPresent(feedback::pace);
+      streamPace.end().ifPresent(feedback::pace);
       beginStream();
       exchange.finish("stream");
       answer.end();
       return;
     }
     exchange.finish("status " + response.statusCode());
-    plain.end(response);
+    bufferedAnswer.finish(response);
   }
 
-  /** Returns whether the answer says where it ends; else the end of the process looks whole. */
-  private boolean hasOwnEnd() {
+  /**
+   * Returns whether the answer has a length or is chunked. Any other answer ends with its
+   * connection, so a crash of the upstream looks like a complete answer.
+   */
+  private boolean isDelimited() {
     return response.getHeader("Content-Length") != null
         || response.getHeader("Transfer-Encoding") != null;
   }
@@ -404,47 +410,47 @@
   public void failed(Progress progress, String problem) {
     release();
     feedback.failed();
-    describe("failed " + progress + " " + problem + " request=" + incoming.fingerprint());
+    logEvent("failed " + progress + " " + problem + " request=" + request.fingerprint());
     if (progress == Progress.NOT_SENT) {
       feedback.notReached();
-      exchange.notSent("retry.upstream-not-reached");
+      exchange.retryUnsent("retry.upstream-not-reached");
       return;
     }
-    exchange.noteMayHaveRun();
-    noteOutcome(true);
-    relay.nextUpstream();
-    boolean stops = stopsAfterBreak();
+    exchange.markMayHaveRun();
+    recordOutcome(true);
+    relay.resetForNextUpstream();
+    boolean mustStop = recordBreak();
     if (route.isRepeatable()
-        && !plain.isHandedOn()
-        && !stops
-        && exchange.mayTryAgain("upstream-" + (streaming ? "stream" : "answer"))) {
-      exchange.next();
+        && !bufferedAnswer.isForwarded()
+        && !mustStop
+        && exchange.tryAcquireRetry("upstream-" + (streaming ? "stream" : "answer"))) {
+      exchange.sendToNextUpstream();
     } else {
       exchange.giveUp(RefusalReason.UPSTREAM_FAILED, ErrorText.get().upstreamBroke);
     }
   }
 
-  /** Notes the break; returns whether it is no longer for this try to end one more upstream. */
-  private boolean stopsAfterBreak() {
-    boolean stops = exchange.guarded().stopsAfterBreak(chosen.row().process());
-    // One that leaves ends as planned, which is nobody's doing.
+  /** Records that the answer broke off; returns true if a retry could crash another upstream. */
+  private boolean recordBreak() {
+    boolean mustStop = exchange.guardedRequest().stopsAfterBreak(chosen.row().process());
+    // An upstream that drains ends as planned, so the request did not crash it.
     if (!parts.tables().isLeaving(chosen.name())) {
-      exchange.guarded().brokeOff(chosen, feedback.started());
+      exchange.guardedRequest().brokeOff(chosen, feedback.started());
     }
-    return stops;
+    return mustStop;
   }
 
-  /** Notes what the upstream's version made of the request. */
-  private void noteOutcome(boolean bad) {
-    if (bad) {
-      exchange.noteFailedVersion(chosen.upstream().version());
+  /** Records whether the upstream's version failed the request. */
+  private void recordOutcome(boolean failure) {
+    if (failure) {
+      exchange.recordFailedVersion(chosen.upstream().version());
     }
-    feedback.outcome(bad);
+    feedback.outcome(failure);
   }
 
-  private void describe(String what) {
+  private void logEvent(String event) {
     exchange.log().log(
         "attempt=%d upstream=%s %s millis=%d",
-        exchange.sent(), chosen.name(), what, feedback.took().toMillis());
+        exchange.attemptsSent(), chosen.name(), event, feedback.took().toMillis());
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/LateHead.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/HeadTimeoutResponse.java
@@ -15,21 +15,21 @@
 import io.vertx.core.net.impl.ConnectionBase;
 
 /**
- * Refuses a request whose head did not become whole in time.
+ * Answers a request whose head was not complete in time.
  *
- * <p>The HTTP library shows a request only once its head is whole, so this answer is written to the
- * connection itself. Stateless; used from the event loop of the connection.
+ * <p>The HTTP library exposes a request only once its head is complete, so this answer is written
+ * directly to the connection. Stateless; used from the event loop of the connection.
  */
-final class LateHead {
-  private LateHead() {}
+final class HeadTimeoutResponse {
+  private HeadTimeoutResponse() {}
 
-  /** Says that the request took too long, and closes the connection behind that. */
-  static void refuse(HttpConnection connection) {
-    FullHttpResponse answer =
+  /** Sends status 408 and closes the connection. */
+  static void send(HttpConnection connection) {
+    FullHttpResponse response =
         new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.REQUEST_TIMEOUT);
-    answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
-    answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+    response.headers().set(HttpHeaderNames.CONTENT_LENGTH, 0);
+    response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     Channel channel = ((ConnectionBase) connection).channel();
-    channel.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE);
+    channel.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/OpenDeadlines.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/OpenDeadlines.java
@@ -12,61 +12,61 @@
 import java.util.Map;
 
 /**
- * The timers of the deadlines of open requests.
+ * Runs actions at the deadlines of open requests.
  *
- * <p>Timers go by the steady clock, which a suspended host does not count: after a suspension they
- * would end late by its length. Invariant: what is due is done once, unless it is cancelled before.
- * Used from one event loop.
+ * <p>Timers use the monotonic clock, which stands still while the host is suspended: after a
+ * suspension they would fire late by its length. Invariant: each action runs once, unless it is
+ * cancelled before. Used from one event loop.
  */
 final class OpenDeadlines {
   private final Vertx vertx;
   private final InstantSource clock;
-  private final Map<Long, Due> open = new LinkedHashMap<>();
+  private final Map<Long, ScheduledAction> scheduled = new LinkedHashMap<>();
 
-  private record Due(Instant deadline, Runnable action) {}
+  private record ScheduledAction(Instant deadline, Runnable action) {}
 
   private OpenDeadlines(Vertx vertx, InstantSource clock) {
     this.vertx = vertx;
     this.clock = clock;
   }
 
-  /** Returns an object without timers. */
+  /** Returns an instance without timers. */
   static OpenDeadlines create(Vertx vertx, InstantSource clock) {
     return new OpenDeadlines(vertx, clock);
   }
 
-  /** Does something at a deadline; returns the number under which that is cancelled. */
-  long at(Instant deadline, Runnable action) {
-    long left = Math.max(1, Duration.between(clock.instant(), deadline).toMillis());
-    long timer = vertx.setTimer(left, this::due);
-    open.put(timer, new Due(deadline, action));
+  /** Schedules an action at a deadline; returns the ID with which to cancel it. */
+  long schedule(Instant deadline, Runnable action) {
+    long remainingMillis = Math.max(1, Duration.between(clock.instant(), deadline).toMillis());
+    long timer = vertx.setTimer(remainingMillis, this::fire);
+    scheduled.put(timer, new ScheduledAction(deadline, action));
     return timer;
   }
 
-  private void due(long timer) {
-    Due passed = open.remove(timer);
-    if (passed != null) {
-      passed.action().run();
+  private void fire(long timer) {
+    ScheduledAction expired = scheduled.remove(timer);
+    if (expired != null) {
+      expired.action().run();
     }
   }
 
-  /** Cancels what was to be done. */
+  /** Cancels an action; does nothing if it has already run. */
   void cancel(long timer) {
-    if (open.remove(timer) != null) {
+    if (scheduled.remove(timer) != null) {
       vertx.cancelTimer(timer);
     }
   }
 
-  /** Does what is overdue, as after a suspension, and the rest at its deadline by the clock. */
+  /** Runs overdue actions, as after a suspension, and reschedules the others by the clock. */
   void setAnew() {
     Instant now = clock.instant();
-    for (Map.Entry<Long, Due> entry : List.copyOf(open.entrySet())) {
-      long left = Duration.between(now, entry.getValue().deadline()).toMillis();
-      if (left <= 0) {
+    for (Map.Entry<Long, ScheduledAction> entry : List.copyOf(scheduled.entrySet())) {
+      long remainingMillis = Duration.between(now, entry.getValue().deadline()).toMillis();
+      if (remainingMillis <= 0) {
         vertx.cancelTimer(entry.getKey());
-        due(entry.getKey());
+        fire(entry.getKey());
       } else {
-        vertx.setTimer(left, unused -> due(entry.getKey()));
+        vertx.setTimer(remainingMillis, unused -> fire(entry.getKey()));
       }
     }
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/SilenceWatch.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/SilenceWatch.java
@@ -10,10 +10,10 @@
 import java.util.function.Supplier;
 
 /**
- * Watches for how long the upstream of one attempt is silent.
+ * Detects when the upstream of one attempt sends nothing for too long.
  *
- * <p>The time in which this instance reads nothing, because the caller reads slowly, is no silence.
- * Invariants: the end of the patience is told at most once, and never after {@link #stop}. Used
+ * <p>Time during which this instance does not read, because the caller reads slowly, does not count
+ * as silence. Invariants: the timeout is reported at most once, and never after {@link #stop}. Used
  * from one event loop.
  */
 final class SilenceWatch {
@@ -21,77 +21,77 @@
 
   private final Vertx vertx;
   private final InstantSource clock;
-  private final Supplier<Duration> patience;
-  private final Runnable lost;
+  private final Supplier<Duration> timeout;
+  private final Runnable onTimeout;
   private long timer = NO_TIMER;
-  private Instant lastHeard;
+  private Instant lastActivity;
   private boolean paused;
   private boolean stopped;
 
-  private SilenceWatch(GatewayParts parts, Supplier<Duration> patience, Runnable lost) {
+  private SilenceWatch(GatewayParts parts, Supplier<Duration> timeout, Runnable onTimeout) {
     this.vertx = parts.vertx();
     this.clock = parts.clock();
-    this.patience = patience;
-    this.lost = lost;
-    this.lastHeard = clock.instant();
+    this.timeout = timeout;
+    this.onTimeout = onTimeout;
+    this.lastActivity = clock.instant();
   }
 
   /**
-   * Returns a watch that measures silence from now on, and tells of none before {@link #start}.
+   * Returns a watch that measures silence from now on and reports none before {@link #start}.
    *
-   * @param patience how long the upstream may be silent, asked anew at each look
-   * @param lost called when the upstream has been silent for that long
+   * @param timeout returns the current timeout, called at each check
+   * @param onTimeout called when the upstream has been silent for the timeout
    */
-  static SilenceWatch create(GatewayParts parts, Supplier<Duration> patience, Runnable lost) {
-    return new SilenceWatch(parts, patience, lost);
+  static SilenceWatch create(GatewayParts parts, Supplier<Duration> timeout, Runnable onTimeout) {
+    return new SilenceWatch(parts, timeout, onTimeout);
   }
 
-  /** Starts to tell of a silence that is too long. */
+  /** Starts to report a silence that reaches the timeout. */
   void start() {
-    long left = patience.get().minus(silence()).toMillis();
-    timer = vertx.setTimer(Math.max(1, left), unused -> due());
+    long remainingMillis = timeout.get().minus(silence()).toMillis();
+    timer = vertx.setTimer(Math.max(1, remainingMillis), unused -> check());
   }
 
-  /** Tells of nothing any more. */
+  /** Stops the watch; nothing is reported afterwards. */
   void stop() {
     stopped = true;
     vertx.cancelTimer(timer);
   }
 
-  /** Notes a sign of life; returns how long the upstream was silent before it. */
-  Duration heard() {
+  /** Records activity of the upstream; returns the length of the silence before it. */
+  Duration recordActivity() {
     Instant now = clock.instant();
-    Duration pause = Duration.between(lastHeard, now);
-    lastHeard = now;
+    Duration pause = Duration.between(lastActivity, now);
+    lastActivity = now;
     return pause;
   }
 
-  /** Notes that this instance reads nothing for now. */
+  /** Records that this instance has stopped reading. */
   void pause() {
     paused = true;
   }
 
-  /** Notes that this instance reads again. */
+  /** Records that this instance reads again. */
   void resume() {
     paused = false;
-    lastHeard = clock.instant();
+    lastActivity = clock.instant();
   }
 
   private Duration silence() {
-    return Duration.between(lastHeard, clock.instant());
+    return Duration.between(lastActivity, clock.instant());
   }
 
-  private void due() {
+  private void check() {
     timer = NO_TIMER;
     if (stopped) {
       return;
     }
-    if (!paused && silence().compareTo(patience.get()) >= 0) {
-      lost.run();
+    if (!paused && silence().compareTo(timeout.get()) >= 0) {
+      onTimeout.run();
       return;
     }
     if (paused) {
-      lastHeard = clock.instant();
+      lastActivity = clock.instant();
     }
     start();
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/StreamRelay.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/StreamRelay.java
@@ -7,57 +7,59 @@
 import java.util.OptionalLong;
 
 /**
- * The events of one answer, over all upstreams that give parts of it.
+ * Joins the events that several upstreams send for one answer into one stream.
  *
- * <p>Invariant: the events handed on have ascending numbers, each number at most once; an event
- * that was handed on before is dropped. Used from one event loop.
+ * <p>Invariant: the IDs of the forwarded events ascend, each at most once; an event that was
+ * forwarded before is dropped. Used from one event loop.
  */
 final class StreamRelay {
-  private OptionalLong last;
-  private long events;
+  private OptionalLong lastEventId;
+  private long eventCount;
   private EventSplitter splitter = new EventSplitter();
 
-  private StreamRelay(OptionalLong last) {
-    this.last = last;
+  private StreamRelay(OptionalLong lastEventId) {
+    this.lastEventId = lastEventId;
   }
 
-  /** Returns a relay of a stream whose caller has the events up to {@code last}. */
-  static StreamRelay after(OptionalLong last) {
-    return new StreamRelay(last);
+  /** Returns a relay for a caller that already has the events up to the given ID. */
+  static StreamRelay after(OptionalLong lastEventId) {
+    return new StreamRelay(lastEventId);
   }
 
-  /** Forgets the unfinished event of an upstream that broke off; another one goes on. */
-  void nextUpstream() {
+  /** Discards the partial event of an upstream that broke off, before another one continues. */
+  void resetForNextUpstream() {
     splitter = new EventSplitter();
   }
 
-  /** Returns the bytes of the events that became whole and were not handed on before. */
+  /** Returns the bytes of the events that are now complete and were not forwarded before. */
   Buffer take(Buffer data) {
-    Buffer fresh = Buffer.buffer();
+    Buffer newEvents = Buffer.buffer();
     for (EventSplitter.Event event : splitter.add(data)) {
-      boolean known =
-          event.id().isPresent() && last.isPresent() && event.id().getAsLong() <= last.getAsLong();
-      if (!known) {
-        fresh.appendBuffer(event.bytes());
-        events++;
-        last = event.id().isPresent() ? event.id() : last;
+      boolean duplicate =
+          event.id().isPresent()
+              && lastEventId.isPresent()
+              && event.id().getAsLong() <= lastEventId.getAsLong();
+      if (!duplicate) {
+        newEvents.appendBuffer(event.bytes());
+        eventCount++;
+        lastEventId = event.id().isPresent() ? event.id() : lastEventId;
       }
     }
-    return fresh;
+    return newEvents;
   }
 
-  /** Returns whether the upstream ended inside an event. */
-  boolean endsInsideEvent() {
-    return splitter.hasRest();
+  /** Returns whether the bytes received so far end inside an event. */
+  boolean hasPartialEvent() {
+    return splitter.hasPartialEvent();
   }
 
-  /** Returns the number of the last event that was handed on. */
-  OptionalLong last() {
-    return last;
+  /** Returns the ID of the last event that the caller has, empty if there is none. */
+  OptionalLong lastEventId() {
+    return lastEventId;
   }
 
-  /** Returns how many events were handed on. */
-  long events() {
-    return events;
+  /** Returns the number of forwarded events. */
+  long eventCount() {
+    return eventCount;
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/UpstreamAttempt.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/UpstreamAttempt.java
@@ -17,62 +17,62 @@
 import org.oatlug.errors.UpstreamFailedException.Progress;
 
 /**
- * One try of a request at one upstream, over a connection of its own.
+ * Sends a request to one upstream over a connection of its own.
  *
- * <p>A connection serves one request and is then closed. An upstream that sends an answer twice, or
- * late, so cannot have it taken for the answer to another request, and a request that may not be
- * repeated never meets a connection that the other side is closing. Invariants: the listener gets
- * {@code head} at most once, then data, and then exactly one of {@code whole} and {@code failed};
- * nothing after {@link #cancel}. Used from one event loop.
+ * <p>A connection serves one request and is then closed. A duplicate or late answer can therefore
+ * not be taken for the answer to another request, and a request that is not repeatable is never
+ * written to a connection that the upstream is closing. Invariants: the listener gets {@code
+ * headReceived} at most once, then data, and then exactly one of {@code completed} and {@code
+ * failed}; no calls after {@link #cancel}. Used from one event loop.
  */
 final class UpstreamAttempt {
-  /** How long a connection may take to open: many round trips between zones. */
-  private static final int CONNECT_MILLIS = 400;
+  /** The connect timeout: many round trips between availability zones. */
+  private static final int CONNECT_TIMEOUT_MILLIS = 400;
 
-  /** More connections to one upstream than any of them accepts. */
-  private static final int MAXIMUM_CONNECTIONS = 2048;
+  /** The pool limit for one upstream, above what any upstream accepts. */
+  private static final int MAXIMUM_CONNECTIONS_PER_UPSTREAM = 2048;
 
   private final Listener listener;
   private HttpClientRequest request;
   private HttpClientResponse response;
-  private boolean over;
+  private boolean finished;
 
   private UpstreamAttempt(Listener listener) {
     this.listener = listener;
   }
 
-  /** Is told how an attempt goes. */
+  /** Receives the events of an attempt. */
   interface Listener {
     /**
-     * Returns whether the request may still be written, now that the connection is open. If not,
-     * the attempt is over and nothing more is told.
+     * Returns whether the request may still be written, called once the connection is open. If it
+     * returns false, the attempt is over and the listener is not called again.
      */
     boolean maySend();
 
-    /** The head of the answer is here; data follows. */
-    void head(HttpClientResponse response);
+    /** Called when the head of the answer was received; data follows. */
+    void headReceived(HttpClientResponse response);
 
-    /** More of the body is here. */
-    void data(Buffer data);
+    /** Called when a part of the body was received. */
+    void dataReceived(Buffer data);
 
-    /** The whole answer was received. */
-    void whole();
+    /** Called when the whole answer was received. */
+    void completed();
 
-    /** The attempt failed. */
+    /** Called when the attempt failed. */
     void failed(Progress progress, String problem);
   }
 
   /**
-   * What is sent.
+   * A request to an upstream.
    *
-   * @param address where it is sent
+   * @param address the address of the upstream
    * @param method the HTTP method
    * @param uri path and query
-   * @param headers the headers, without those of the connection
+   * @param headers the headers, without connection headers
    * @param body the body, empty for none
-   * @param hasBody whether the request has a body at all
+   * @param hasBody whether the request has a body, which may be empty
    */
-  record Call(
+  record OutgoingRequest(
       SocketAddress address,
       HttpMethod method,
       String uri,
@@ -80,113 +80,114 @@
       Buffer body,
       boolean hasBody) {}
 
-  /** Returns a client that opens a connection for each request. */
+  /** Returns a client that opens a new connection for each request. */
   static HttpClient newClient(Vertx vertx) {
     HttpClientOptions options =
         new HttpClientOptions()
             .setKeepAlive(false)
-            .setConnectTimeout(CONNECT_MILLIS)
+            .setConnectTimeout(CONNECT_TIMEOUT_MILLIS)
             .setDecompressionSupported(false)
             .setTcpNoDelay(true);
-    return vertx.createHttpClient(options, new PoolOptions().setHttp1MaxSize(MAXIMUM_CONNECTIONS));
+    return vertx.createHttpClient(
+        options, new PoolOptions().setHttp1MaxSize(MAXIMUM_CONNECTIONS_PER_UPSTREAM));
   }
 
-  /** Starts an attempt. */
-  static UpstreamAttempt start(HttpClient client, Call call, Listener listener) {
+  /** Opens a connection and sends the request over it. */
+  static UpstreamAttempt start(HttpClient client, OutgoingRequest outgoing, Listener listener) {
     UpstreamAttempt attempt = new UpstreamAttempt(listener);
     RequestOptions options =
         new RequestOptions()
-            .setServer(call.address())
-            .setHost(call.address().host())
-            .setPort(call.address().port())
-            .setMethod(call.method())
-            .setURI(call.uri());
+            .setServer(outgoing.address())
+            .setHost(outgoing.address().host())
+            .setPort(outgoing.address().port())
+            .setMethod(outgoing.method())
+            .setURI(outgoing.uri());
     client
         .request(options)
         .onComplete(
-            request -> attempt.connected(request, call),
-            failure -> attempt.fail(Progress.NOT_SENT, problemOf(failure)));
+            request -> attempt.connected(request, outgoing),
+            failure -> attempt.fail(Progress.NOT_SENT, describe(failure)));
     return attempt;
   }
 
-  private void connected(HttpClientRequest opened, Call call) {
+  private void connected(HttpClientRequest opened, OutgoingRequest outgoing) {
     request = opened;
-    if (over) {
+    if (finished) {
       opened.reset();
       return;
     }
-    opened.exceptionHandler(failure -> fail(Progress.SENT, problemOf(failure)));
+    opened.exceptionHandler(failure -> fail(Progress.SENT, describe(failure)));
     if (!listener.maySend()) {
       cancel();
       return;
     }
-    opened.headers().addAll(call.headers());
+    opened.headers().addAll(outgoing.headers());
     opened
         .response()
-        .onComplete(this::answered, failure -> fail(Progress.SENT, problemOf(failure)));
-    if (call.hasBody()) {
-      opened.end(call.body());
+        .onComplete(this::responseReceived, failure -> fail(Progress.SENT, describe(failure)));
+    if (outgoing.hasBody()) {
+      opened.end(outgoing.body());
     } else {
       opened.end();
     }
   }
 
-  private void answered(HttpClientResponse answer) {
-    if (over) {
+  private void responseReceived(HttpClientResponse received) {
+    if (finished) {
       return;
     }
-    response = answer;
-    answer.exceptionHandler(failure -> fail(Progress.ANSWERING, problemOf(failure)));
-    answer.handler(
+    response = received;
+    received.exceptionHandler(failure -> fail(Progress.ANSWERING, describe(failure)));
+    received.handler(
         data -> {
-          if (!over) {
-            listener.data(data);
+          if (!finished) {
+            listener.dataReceived(data);
           }
         });
-    answer.endHandler(
+    received.endHandler(
         unused -> {
-          if (!over) {
-            over = true;
-            listener.whole();
+          if (!finished) {
+            finished = true;
+            listener.completed();
           }
         });
-    listener.head(answer);
+    listener.headReceived(received);
   }
 
   /** Stops reading the answer until {@link #resume}. */
   void pause() {
-    if (response != null && !over) {
+    if (response != null && !finished) {
       response.pause();
     }
   }
 
-  /** Goes on reading the answer. */
+  /** Continues reading the answer. */
   void resume() {
-    if (response != null && !over) {
+    if (response != null && !finished) {
       response.resume();
     }
   }
 
-  /** Ends the attempt: closes its connection, so that the upstream stops working. */
+  /** Cancels the attempt by closing its connection, so that the upstream stops processing. */
   void cancel() {
-    if (over) {
+    if (finished) {
       return;
     }
-    over = true;
+    finished = true;
     if (request != null) {
       request.reset();
     }
   }
 
   private void fail(Progress progress, String problem) {
-    if (over) {
+    if (finished) {
       return;
     }
     cancel();
     listener.failed(progress, problem);
   }
 
-  private static String problemOf(Throwable failure) {
+  private static String describe(Throwable failure) {
     String message = failure.getMessage();
     return failure.getClass().getSimpleName() + (message == null ? "" : ": " + message);
   }
