--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/CallerLeftTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/CallerLeftTest.java
@@ -19,18 +19,14 @@
 import org.testng.annotations.Test;
 
 /**
- * A request whose caller leaves while the instance is too busy to notice.
+ * Tests that a request is not sent on after its caller has disconnected.
  *
- * <p>Symptom: requests reached upstreams seconds after their callers had closed the connection, 52
- * of 2,300 after the loss of power of all instances. Sequence: an instance with a small share of a
- * core reads a request and works through many others; meanwhile the caller gives up and closes; the
- * connection to the upstream opens and the request is written; only then is the caller's socket
- * looked at again. Cause: a close is seen when the event loop comes to that socket, and what was
- * ready earlier in the same round is done first. Settled by three lines of one request: sent by its
- * caller at 47.779 s, given up at 48.779 s, at the upstream at 51.408 s.
+ * <p>Guards against requests that reach an upstream seconds after their caller closed the
+ * connection. On a busy instance, the event loop processes everything that was ready earlier in the
+ * same iteration, such as an opened connection to the upstream, before it reads the closed socket.
  */
 public class CallerLeftTest {
-  private static final int PATIENCE_SECONDS = 10;
+  private static final int TIMEOUT_SECONDS = 10;
 
   private HeldUpFront front;
 
@@ -61,33 +57,33 @@
 
   private static void await(CountDownLatch latch) {
     try {
-      assertTrue(latch.await(PATIENCE_SECONDS, TimeUnit.SECONDS));
+      assertTrue(latch.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     } catch (InterruptedException e) {
       throw new IllegalStateException(e);
     }
   }
 
   @Test
-  public void testRequestIsNotSentOnAfterItsCallerLeft() throws Exception {
+  public void testRequestIsNotSentOnAfterItsCallerDisconnected() throws Exception {
     final UpstreamStandin upstream = front.addUpstream("only", "hall-a");
     int port = front.listen();
     CountDownLatch chosen = new CountDownLatch(1);
-    CountDownLatch left = new CountDownLatch(1);
+    CountDownLatch disconnected = new CountDownLatch(1);
     AtomicInteger choices = new AtomicInteger();
     front.afterChoice(
         () -> {
           if (choices.getAndIncrement() == 0) {
             chosen.countDown();
-            await(left);
+            await(disconnected);
           }
         });
-    Socket leaving = send(port, "request-1");
+    Socket disconnecting = send(port, "request-1");
     await(chosen);
-    leaving.close();
-    left.countDown();
-    try (Socket staying = send(port, "request-2")) {
-      assertTrue(staying.getInputStream().read() >= 0, "the other caller gets its answer");
+    disconnecting.close();
+    disconnected.countDown();
+    try (Socket connected = send(port, "request-2")) {
+      assertTrue(connected.getInputStream().read() >= 0, "the connected caller gets its answer");
     }
-    assertEquals(upstream.arrivals().size(), 1, "only the request of the caller that stays");
+    assertEquals(upstream.arrivals().size(), 1, "only the request of the connected caller");
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/HeldUpFront.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/HeldUpFront.java
@@ -37,37 +37,37 @@
 import org.oatlug.test.Ports;
 
 /**
- * A callers' front in this process whose choice of an upstream can be held up, with upstreams to
- * choose from. Ends what it started; used from one thread.
+ * A server for callers in this process, with upstreams, that can be interrupted while it chooses an
+ * upstream. Stops what it started on close; used from one thread.
  */
 final class HeldUpFront implements AutoCloseable {
   static final String HOST = "127.0.0.1";
 
-  /** Longer than a test waits. */
+  /** The route timeout, longer than any test waits. */
   private static final int TIMEOUT_MILLIS = 120_000;
 
-  private volatile Duration suspended = Duration.ZERO;
+  private volatile Duration suspendedTime = Duration.ZERO;
   private final GatewayTables tables = GatewayTables.create(this::now);
   private final Vertx vertx = Vertx.vertx();
   private volatile Runnable afterChoice = () -> {};
   private long revision;
   private GatewayParts parts;
 
-  /** Runs an action on the event loop each time that a choice has its candidates. */
+  /** Sets an action to run on the event loop during each choice among candidate upstreams. */
   void afterChoice(Runnable action) {
     afterChoice = action;
   }
 
   private Instant now() {
-    return Instant.now().plus(suspended);
+    return Instant.now().plus(suspendedTime);
   }
 
-  /** Lets the clock go on by a time that no timer counts, as when the machine is suspended. */
+  /** Advances the clock without advancing timers, as a suspension of the host does. */
   void suspend(Duration time) {
-    suspended = suspended.plus(time);
+    suspendedTime = suspendedTime.plus(time);
   }
 
-  /** Lets the instance notice that it stood still. */
+  /** Notifies the instance that it was suspended. */
   void notice() {
     vertx.runOnContext(unused -> parts.stoodStill());
   }
@@ -94,15 +94,15 @@
     return UpstreamRecord.of(SampleObjects.SERVICE, HOST, port, zone, "v1", 8, leaving);
   }
 
-  /** Takes in that the upstream leaves. */
+  /** Marks the upstream as draining. */
   void leaves(String name) {
-    UpstreamRecord known = tables.upstream(name).orElseThrow();
-    if (!known.leaving()) {
-      put(GatewayKinds.UPSTREAM, name, record(known.port(), known.zone(), true));
+    UpstreamRecord upstream = tables.upstream(name).orElseThrow();
+    if (!upstream.leaving()) {
+      put(GatewayKinds.UPSTREAM, name, record(upstream.port(), upstream.zone(), true));
     }
   }
 
-  /** Takes in that the upstream wants nothing for a while. */
+  /** Makes the upstream ask to back off for the given time. */
   void rests(String name, Duration time) {
     tables.row(name).restUntil(now().plus(time));
   }
@@ -132,7 +132,7 @@
         Optional.empty());
   }
 
-  /** Starts the front and returns its port. */
+  /** Starts the server and returns its port. */
   int listen() throws IOException, SettingsInvalidException {
     put(GatewayKinds.ROUTING, "main", configuration());
     List<Integer> ports = List.of(1, 1, Ports.free(), 1, 1, 1);
@@ -140,7 +140,7 @@
     file.toFile().deleteOnExit();
     Files.writeString(file, SampleObjects.settings("entry-0", ports, List.of()).encode());
     GatewaySettings settings = SettingsFile.readGateway(file);
-    RandomGenerator choosing =
+    RandomGenerator interruptedChoice =
         () -> {
           afterChoice.run();
           return 0;
@@ -155,7 +155,7 @@
             new AnyVersion(),
             RateSenders.alone(),
             () -> 1,
-            choosing,
+            interruptedChoice,
             Meters.of(new MetricRegistry()));
     CallerFront.create(parts, new Random(1), () -> true)
         .listen()
@@ -170,7 +170,7 @@
     vertx.close().toCompletionStage().toCompletableFuture().join();
   }
 
-  /** No roll-out runs. */
+  /** Allows every version, as without a roll-out. */
   private static final class AnyVersion implements VersionRule {
     @Override
     public Optional<Wish> wishFor(String service, RequestHead head, Tried tried) {
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/SuspendedRequestTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/SuspendedRequestTest.java
@@ -22,15 +22,15 @@
 import org.testng.annotations.Test;
 
 /**
- * A machine is suspended while it has requests open. Timers do not count the time: a request whose
- * deadline passed meanwhile would have had its answer late by the whole suspension, and one whose
- * upstream was chosen before would have been sent on with more time than its caller still waits.
+ * Tests requests that are open while the host is suspended. Timers do not count the suspension: a
+ * request whose deadline passed meanwhile could be answered late by its whole length, and a request
+ * whose upstream was chosen before could be sent with more time than its caller still waits.
  */
 public class SuspendedRequestTest {
   private static final Duration DEADLINE = Duration.ofSeconds(60);
   private static final Duration SUSPENDED = Duration.ofSeconds(40);
 
-  /** Far less than what a timer that does not count the suspension still waits. */
+  /** Less than the time left on a timer that does not count the suspension. */
   private static final long WAIT_SECONDS = 30;
 
   private HeldUpFront front;
@@ -61,16 +61,18 @@
   }
 
   @Test
-  public void testRequestIsHandedOnWithTheTimeThatIsLeft() throws Exception {
+  public void testRequestIsForwardedWithTheRemainingTime() throws Exception {
     front.afterChoice(() -> front.suspend(SUSPENDED));
     assertEquals(send().get(WAIT_SECONDS, TimeUnit.SECONDS).statusCode(), 200);
-    String left = upstream.arrivals().get(0).header("Request-Deadline").orElseThrow();
-    Duration most = DEADLINE.minus(SUSPENDED);
-    assertTrue(Long.parseLong(left) <= most.toMillis(), left + " ms were handed on");
+    String remainingMillis = upstream.arrivals().get(0).header("Request-Deadline").orElseThrow();
+    Duration maximum = DEADLINE.minus(SUSPENDED);
+    assertTrue(
+        Long.parseLong(remainingMillis) <= maximum.toMillis(),
+        remainingMillis + " ms were forwarded");
   }
 
   @Test
-  public void testRequestWhoseTimeIsOverIsNotHandedOn() throws Exception {
+  public void testRequestPastItsDeadlineIsNotForwarded() throws Exception {
     front.afterChoice(() -> front.suspend(DEADLINE));
     HttpResponse<String> answer = send().get(WAIT_SECONDS, TimeUnit.SECONDS);
     assertEquals(answer.statusCode(), 503);
@@ -78,10 +80,10 @@
   }
 
   @Test
-  public void testRequestWhoseDeadlinePassedMeanwhileIsAnsweredAtOnce() throws Exception {
+  public void testOpenRequestPastItsDeadlineIsAnsweredAtOnce() throws Exception {
     upstream.setBehaviour(Behaviour.HANGS);
     final CompletableFuture<HttpResponse<String>> answer = send();
-    Await.until("it has arrived", () -> !upstream.arrivals().isEmpty());
+    Await.until("the request has arrived", () -> !upstream.arrivals().isEmpty());
     front.suspend(DEADLINE);
     front.notice();
     assertEquals(answer.get(WAIT_SECONDS, TimeUnit.SECONDS).statusCode(), 504);
