--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/HeldUpFront.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/HeldUpFront.java
@@ -68,7 +68,7 @@
   }
 
   /** Notifies the instance that it was suspended. */
-  void notice() {
+  void notifySuspension() {
     vertx.runOnContext(unused -> parts.stoodStill());
   }
 
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/SuspendedRequestTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/SuspendedRequestTest.java
@@ -85,7 +85,7 @@
     final CompletableFuture<HttpResponse<String>> answer = send();
     Await.until("the request has arrived", () -> !upstream.arrivals().isEmpty());
     front.suspend(DEADLINE);
-    front.notice();
+    front.notifySuspension();
     assertEquals(answer.get(WAIT_SECONDS, TimeUnit.SECONDS).statusCode(), 504);
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/Exchange.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/Exchange.java
@@ -312,13 +312,13 @@
                     .apply(name)
                     .map(UpstreamSelection.Chosen::forecast)
                     .orElse(HeadForecast.NEVER));
-    OptionalInt replacementStage = parts.stages().insteadOf(droppableAnswer);
-    if (replacementStage.isEmpty()) {
+    OptionalInt nextStage = parts.stages().insteadOf(droppableAnswer);
+    if (nextStage.isEmpty()) {
       return Optional.empty();
     }
     return upstreamOf
-        .apply(route.models().get(replacementStage.getAsInt()))
-        .map(chosen -> new Replacement(replacementStage.getAsInt(), chosen));
+        .apply(route.models().get(nextStage.getAsInt()))
+        .map(chosen -> new Replacement(nextStage.getAsInt(), chosen));
   }
 
   /** Sends the request to another model of the cascade. */
