--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/KnownVersionsTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/KnownVersionsTest.java
@@ -9,67 +9,67 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Shows which versions count as brought in without an order. */
+/** Tests which versions count as lacking a roll-out order. */
 public class KnownVersionsTest {
   private static final String SERVICE = "pool";
 
   private KnownVersions versions;
 
   @BeforeMethod
-  void begin() {
+  void setUp() {
     versions = KnownVersions.create();
     versions.added(SERVICE, "v1");
   }
 
   @Test
-  public void testVersionsKnownBeforeAllWasReadCountAsOrdered() {
+  public void testVersionsKnownBeforeInitialReadCountAsOrdered() {
     versions.added(SERVICE, "v2");
-    versions.allRead();
+    versions.completeInitialRead();
     assertFalse(versions.isUnordered(SERVICE, "v1"));
     assertFalse(versions.isUnordered(SERVICE, "v2"));
   }
 
   @Test
   public void testVersionThatAppearsBesideAnotherNeedsAnOrder() {
-    versions.allRead();
+    versions.completeInitialRead();
     versions.added(SERVICE, "v2");
     versions.added("other", "v2");
     assertTrue(versions.isUnordered(SERVICE, "v2"));
     assertFalse(versions.isUnordered("other", "v2"));
-    versions.ordered(SERVICE, "v2");
+    versions.recordOrder(SERVICE, "v2");
     assertFalse(versions.isUnordered(SERVICE, "v2"));
   }
 
   @Test
   public void testOrderMayBeKnownBeforeTheUpstreams() {
-    versions.allRead();
-    versions.ordered(SERVICE, "v2");
+    versions.completeInitialRead();
+    versions.recordOrder(SERVICE, "v2");
     versions.added(SERVICE, "v2");
     assertFalse(versions.isUnordered(SERVICE, "v2"));
   }
 
   @Test
-  public void testVersionThatIsLeftAloneTakesThePlace() {
-    versions.allRead();
+  public void testOnlyRemainingVersionIsAccepted() {
+    versions.completeInitialRead();
     versions.added(SERVICE, "v2");
     versions.removed(SERVICE, "v1");
     assertFalse(versions.isUnordered(SERVICE, "v2"));
   }
 
-  /** Entries lapse in an outage of the store and come back after it. */
+  /** During an outage of the store entries expire, and they are registered again after it. */
   @Test
-  public void testVersionWhoseUpstreamsComeBackIsNotTakenForNew() {
-    versions.allRead();
+  public void testVersionWhoseUpstreamsRegisterAgainStaysAccepted() {
+    versions.completeInitialRead();
     versions.added(SERVICE, "v2");
     versions.removed(SERVICE, "v1");
     versions.added(SERVICE, "v1");
     assertFalse(versions.isUnordered(SERVICE, "v1"));
   }
 
-  /** An entry that is written anew is added before it is removed. */
+  /** When an entry is replaced, the new state is added before the previous one is removed. */
   @Test
-  public void testOnlyUpstreamThatChangesItsEntryStays() {
-    versions.allRead();
+  public void testVersionStaysAcceptedWhenItsOnlyUpstreamReplacesItsEntry() {
+    versions.completeInitialRead();
     versions.added(SERVICE, "v2");
     versions.added(SERVICE, "v1");
     versions.removed(SERVICE, "v1");
--- /dev/null
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/ReplicatedSessionsTest.java
@@ -0,0 +1,97 @@
+// Copyright (c) 2026, the oatlug authors
+// SPDX-License-Identifier: BSD-3-Clause
+
+package org.oatlug.internal.gateway;
+
+import static org.testng.Assert.assertEquals;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+import org.oatlug.internal.gather.SeenSession;
+import org.testng.annotations.Test;
+
+/** Tests which sessions are replicated to other instances, how often, and when they expire. */
+public class ReplicatedSessionsTest {
+  private static final Duration PAUSE = Duration.ofSeconds(5);
+  private static final String SERVICE = "pool";
+
+  private final Instant start = Instant.parse("2026-12-02T12:00:00Z");
+
+  private static ReplicatedSessions sessions() {
+    return ReplicatedSessions.withPause(PAUSE, session -> session < 10);
+  }
+
+  private static SeenSession seenNow(long session, String version) {
+    return new SeenSession(SERVICE, session, version, 0);
+  }
+
+  @Test
+  public void testSessionThatWouldMoveIsReplicatedOncePerPause() {
+    ReplicatedSessions replicated = sessions();
+    replicated.recordLocal(SERVICE, 1, "v1", start);
+    replicated.recordLocal(SERVICE, 99, "v1", start);
+    assertEquals(replicated.drainPending(start), List.of(seenNow(1, "v1")));
+    replicated.recordLocal(SERVICE, 1, "v1", start.plusMillis(50));
+    assertEquals(replicated.drainPending(start.plusMillis(100)), List.of());
+    Instant later = start.plus(PAUSE);
+    replicated.recordLocal(SERVICE, 1, "v1", later);
+    assertEquals(replicated.drainPending(later), List.of(seenNow(1, "v1")));
+  }
+
+  @Test
+  public void testSessionThatMovedIsReplicatedImmediately() {
+    ReplicatedSessions replicated = sessions();
+    replicated.recordLocal(SERVICE, 1, "v1", start);
+    assertEquals(replicated.drainPending(start), List.of(seenNow(1, "v1")));
+    Instant later = start.plusMillis(300);
+    replicated.recordLocal(SERVICE, 1, "v2", later);
+    assertEquals(
+        replicated.drainPending(later.plusMillis(40)),
+        List.of(new SeenSession(SERVICE, 1, "v2", 40)));
+  }
+
+  @Test
+  public void testSessionThatIsReplicatedAgainStaysKnown() {
+    ReplicatedSessions replicated = sessions();
+    Instant now = start;
+    for (int pause = 0; pause < 10; pause++) {
+      now = start.plus(PAUSE.multipliedBy(pause));
+      replicated.recordRemote(seenNow(1, "v1"), now);
+    }
+    Instant queriedAt = now.plus(PAUSE);
+    assertEquals(replicated.of(SERVICE).lastVersion(1, queriedAt), Optional.of("v1"));
+  }
+
+  @Test
+  public void testLatestObservationWinsWhicheverInstanceMadeIt() {
+    ReplicatedSessions replicated = sessions();
+    replicated.recordLocal(SERVICE, 1, "v1", start);
+    Instant now = start.plusMillis(800);
+    replicated.recordRemote(new SeenSession(SERVICE, 1, "v2", 900), now);
+    assertEquals(replicated.of(SERVICE).lastVersion(1, now), Optional.of("v1"));
+    replicated.recordRemote(new SeenSession(SERVICE, 1, "v2", 100), now);
+    assertEquals(replicated.of(SERVICE).lastVersion(1, now), Optional.of("v2"));
+  }
+
+  /** A new collector receives all sessions, including those replicated from other instances. */
+  @Test
+  public void testNewCollectorReceivesAllUnexpiredSessions() {
+    ReplicatedSessions replicated = sessions();
+    replicated.recordLocal(SERVICE, 1, "v1", start);
+    replicated.recordRemote(seenNow(2, "v2"), start);
+    replicated.recordLocal(SERVICE, 99, "v1", start);
+    assertEquals(replicated.drainPending(start).size(), 1);
+    Instant later = start.plusMillis(20);
+    assertEquals(
+        Set.copyOf(replicated.matching(later, observation -> true)),
+        Set.of(new SeenSession(SERVICE, 1, "v1", 20), new SeenSession(SERVICE, 2, "v2", 20)));
+    assertEquals(
+        replicated.matching(later, SessionVersions.Observation::isLocal),
+        List.of(new SeenSession(SERVICE, 1, "v1", 20)));
+    assertEquals(
+        replicated.matching(start.plus(PAUSE.multipliedBy(10)), observation -> true), List.of());
+  }
+}
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/RolloutDecisionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/RolloutDecisionTest.java
@@ -21,7 +21,7 @@
 import org.oatlug.platform.StoreRevision;
 import org.testng.annotations.Test;
 
-/** Shows when a version that is brought in gets how much, and when it is taken for bad. */
+/** Tests the traffic share of a version under roll-out and when it is refuted. */
 public class RolloutDecisionTest {
   private static final StoreRevision ORDER = StoreRevision.ofNumber(1);
   private Instant now = Instant.parse("2026-12-02T12:00:00Z");
@@ -29,34 +29,36 @@
 
   @Test
   public void testScheduleKeepsBadVersionWithinItsShare() {
-    RolloutSchedule schedule = RolloutSchedule.within(0.15);
-    double sum = 0;
-    double last = 0;
+    RolloutSchedule schedule = RolloutSchedule.withExposureBound(0.15);
+    double shareSum = 0;
+    double previousShare = 0;
     for (int step = 0; step < 1000; step++) {
       double share = schedule.shareAt(step / 1000.0);
-      assertTrue(share >= last, "the share never falls");
-      assertTrue(share - last < 0.1, "it grows little by little, not by " + (share - last));
-      last = share;
-      sum += share < 1 ? share : 0;
+      assertTrue(share >= previousShare, "the share never falls");
+      assertTrue(
+          share - previousShare < 0.1,
+          "the share grows gradually, not by " + (share - previousShare));
+      previousShare = share;
+      shareSum += share < 1 ? share : 0;
     }
-    assertTrue(sum / 1000 < 0.13, "before it got all it got " + sum / 1000);
+    assertTrue(shareSum / 1000 < 0.13, "the mean share before it reaches 1 is " + shareSum / 1000);
     assertFalse(schedule.sessionsMayMove(0.49));
     assertEquals(schedule.shareAt(0.9), 1.0);
   }
 
   @Test
-  public void testSessionIsKnownForItsPauseAndOwnKnowledgeOfTheSameMomentGoesFirst() {
+  public void testSessionExpiresAndLocalObservationWinsAtTheSameInstant() {
     SessionVersions sessions = SessionVersions.withPause(Duration.ofSeconds(5));
-    sessions.seen(1, "v1", now);
-    sessions.heard(1, "other", now);
-    sessions.heard(2, "other", now);
-    assertEquals(sessions.versionOf(1, now), Optional.of("v1"));
-    assertEquals(sessions.versionOf(2, now), Optional.of("other"));
-    assertTrue(sessions.versionOf(1, now.plusSeconds(60)).isEmpty());
+    sessions.recordLocal(1, "v1", now);
+    sessions.recordRemote(1, "other", now);
+    sessions.recordRemote(2, "other", now);
+    assertEquals(sessions.lastVersion(1, now), Optional.of("v1"));
+    assertEquals(sessions.lastVersion(2, now), Optional.of("other"));
+    assertTrue(sessions.lastVersion(1, now.plusSeconds(60)).isEmpty());
   }
 
   @Test
-  public void testBadVersionIsRefutedSoonAndGoodOneIsNot() {
+  public void testBadVersionIsRefutedSoonAndGoodVersionIsNot() {
     Route route = GatewayDecisionTest.route("a", "/x/");
     RolloutTrial good = RolloutTrial.of("v2", ORDER, OrderAge.learned(now, true));
     RolloutTrial bad = RolloutTrial.of("v2", ORDER, OrderAge.learned(now, true));
@@ -67,9 +69,9 @@
         boolean fails = random.nextInt(50) == 0;
         Duration took = Duration.ofMillis(100 + random.nextInt(100));
         good.add(new VersionRule.Answer("pool", version, route, "m", fails, took), now);
-        boolean spoilt = version.equals("v2") && random.nextBoolean();
-        bad.add(new VersionRule.Answer("pool", version, route, "m", spoilt, took), now);
-        Duration slowed = spoilt ? took.multipliedBy(8) : took;
+        boolean faulty = version.equals("v2") && random.nextBoolean();
+        bad.add(new VersionRule.Answer("pool", version, route, "m", faulty, took), now);
+        Duration slowed = faulty ? took.multipliedBy(8) : took;
         slow.add(new VersionRule.Answer("pool", version, route, "m", false, slowed), now);
       }
     }
@@ -79,11 +81,11 @@
   }
 
   /**
-   * At the end of a roll-out the new version has all requests and cold caches; the old one, which
-   * is compared with, has none any more and was warm.
+   * At the end of a roll-out the new version serves all requests with cold caches and is compared
+   * with times of the old version, which had warm caches and receives no requests any more.
    */
   @Test
-  public void testGoodVersionOnColdEnginesIsNotRefutedAndSlowOneIs() {
+  public void testGoodVersionOnColdEnginesIsNotRefutedAndSlowVersionIs() {
     RolloutTrial good = RolloutTrial.of("v2", ORDER, OrderAge.learned(now, true));
     RolloutTrial slowUnderLoad = RolloutTrial.of("v2", ORDER, OrderAge.learned(now, true));
     Random random = new Random(20261202);
@@ -100,13 +102,14 @@
       good.add(answerAfter("v2", late ? 1500 : 200), now);
     }
     int instances = 7;
-    ComparedPairs others = ComparedPairs.NONE;
-    for (int other = 1; other < instances; other++) {
-      others = others.plus(good.ownSeen());
+    ComparedPairs remote = ComparedPairs.NONE;
+    for (int instance = 1; instance < instances; instance++) {
+      remote = remote.plus(good.localPairs());
     }
-    good.heard(
-        new VersionEvidence("pool", "v2", ORDER, others, 400L * (instances - 1), false, 0), now);
-    assertFalse(RolloutGuard.refutesTogether(good.allEvidence()), "evidence " + good.allEvidence());
+    good.addRemoteEvidence(
+        new VersionEvidence("pool", "v2", ORDER, remote, 400L * (instances - 1), false, 0), now);
+    assertFalse(
+        RolloutGuard.refutesTogether(good.totalEvidence()), "evidence " + good.totalEvidence());
     int seen = 0;
     while (!slowUnderLoad.isRefuted() && seen < 60) {
       seen++;
@@ -127,7 +130,7 @@
   }
 
   @Test
-  public void testVersionWhoseEventsComeSlowlyIsRefutedSoon() {
+  public void testVersionWithSlowEventsIsRefutedSoon() {
     RolloutTrial slow = RolloutTrial.of("v2", ORDER, OrderAge.learned(now, true));
     RolloutTrial good = RolloutTrial.of("v2", ORDER, OrderAge.learned(now, true));
     Random random = new Random(20261202);
@@ -153,7 +156,7 @@
   }
 
   @Test
-  public void testPaceIsToldOnceAndNotOfStreamThatWaitsForItsCaller() {
+  public void testPaceIsReportedOnceAndNotForStreamThatWaitsForItsCaller() {
     StreamPace pace = new StreamPace();
     assertTrue(pace.add(1, now).isEmpty());
     for (int event = 1; event < 7; event++) {
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayTables.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayTables.java
@@ -36,18 +36,18 @@
 import org.oatlug.platform.StoredObject;
 
 /**
- * The state by which one instance routes requests to services.
+ * Holds the state by which one instance routes requests to services.
  *
- * <p>Invariants: it shows the newest known state of each object; a configuration of a lower version
- * never replaces one of a higher version, whatever their revisions. An object that cannot be read
- * is passed over with a log line and the one before it stays, but for an entry of an upstream, see
- * {@link Kinds#unusable}. Owned by one event loop, not thread-safe.
+ * <p>Invariants: each object has its newest known state; a configuration of a lower version never
+ * replaces one of a higher version, whatever their revisions. An object that cannot be decoded is
+ * logged and ignored, and its previous state stays in force; for an upstream's entry see {@link
+ * Kinds#unusable}. Owned by one event loop, not thread-safe.
  */
 public final class GatewayTables implements ObjectSink {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** At most a line each so many seconds tells of entries that name no upstream to use. */
-  private static final int UNUSABLE_LINES_SECONDS = 1;
+  /** The minimum interval between log lines about unusable upstream entries, in seconds. */
+  private static final int UNUSABLE_LOG_INTERVAL_SECONDS = 1;
 
   private final InstantSource clock;
   private final ObjectJoin join = ObjectJoin.create(GatewayRules.create());
@@ -78,148 +78,149 @@
 
   @Override
   public List<StoredObject> mergeAll(List<StoredObject> objects, Origin origin) {
-    List<StoredObject> fresh = new ArrayList<>();
+    List<StoredObject> changed = new ArrayList<>();
     for (StoredObject object : objects) {
-      noteEpoch(object.revision().epoch());
+      updateEpoch(object.revision().epoch());
       Optional<StoredObject> known = join.get(object.key());
       Optional<StoredObject> joined = join.merge(object);
-      joined.ifPresent(fresh::add);
-      joined.ifPresent(newer -> takeIfChanged(known, newer, origin));
+      joined.ifPresent(changed::add);
+      joined.ifPresent(newer -> applyIfChanged(known, newer, origin));
     }
-    return fresh;
+    return changed;
   }
 
-  private void noteEpoch(long shown) {
-    if (shown > epoch) {
-      epoch = shown;
+  private void updateEpoch(long observed) {
+    if (observed > epoch) {
+      epoch = observed;
       epochSince = clock.instant();
     }
   }
 
-  /** Returns what is known of the store's restores, for an operator. */
+  /** Returns the store epoch and the effects of store restores, for operators. */
   InstanceStatus.Store storeStatus() {
     List<String> retained =
         join.all().stream()
             .filter(StoredObject::retained)
             .map(object -> object.key().toString())
             .toList();
-    long awaited = join.all().stream().filter(this::isAwaited).count();
-    long since = Duration.between(epochSince, clock.instant()).toMillis();
-    return new InstanceStatus.Store(epoch, since, retained, awaited);
+    long awaitedCount = join.all().stream().filter(this::isOfEarlierEpoch).count();
+    long sinceMillis = Duration.between(epochSince, clock.instant()).toMillis();
+    return new InstanceStatus.Store(epoch, sinceMillis, retained, awaitedCount);
   }
 
-  private boolean isAwaited(StoredObject object) {
+  private boolean isOfEarlierEpoch(StoredObject object) {
     return object.revision().epoch() < epoch && !Kinds.isTombstone(object.value());
   }
 
-  /** Takes in an object, unless only its revision changed, as after a restore of the store. */
-  private void takeIfChanged(Optional<StoredObject> known, StoredObject newer, Origin origin) {
+  /** Applies an object unless only its revision changed, as after a restore of the store. */
+  private void applyIfChanged(Optional<StoredObject> known, StoredObject newer, Origin origin) {
     if (newer.retained()) {
       logger.atInfo().log(
-          "%s revision=%s keeps what was known before the store was restored %s",
+          "%s revision=%s retains the content known before the store was restored %s",
           newer.key(), newer.revision(), origin);
     }
     if (known.isEmpty() || !known.get().value().equals(newer.value())) {
-      take(newer, origin);
+      apply(newer, origin);
     }
   }
 
-  private void take(StoredObject object, Origin origin) {
+  private void apply(StoredObject object, Origin origin) {
     try {
       switch (object.key().kind()) {
-        case GatewayKinds.ROUTING -> takeRouting(object, origin);
-        case GatewayKinds.UPSTREAM -> takeUpstream(object, origin);
-        case GatewayKinds.ROLLOUT -> takeRollout(object, origin);
-        case GatewayKinds.EVACUATION -> takeEvacuation(object, origin);
-        default -> logger.atWarning().log("object %s is of an unknown kind", object.key());
+        case GatewayKinds.ROUTING -> applyRouting(object, origin);
+        case GatewayKinds.UPSTREAM -> applyUpstream(object, origin);
+        case GatewayKinds.ROLLOUT -> applyRollout(object, origin);
+        case GatewayKinds.EVACUATION -> applyEvacuation(object, origin);
+        default -> logger.atWarning().log("object %s has an unknown kind", object.key());
       }
     } catch (JsonProcessingException e) {
-      logger.atWarning().log("object %s is passed over: %s", object.key(), e.getOriginalMessage());
+      logger.atWarning().log("object %s is ignored: %s", object.key(), e.getOriginalMessage());
     }
   }
 
-  private void takeRouting(StoredObject object, Origin origin) throws JsonProcessingException {
+  private void applyRouting(StoredObject object, Origin origin) throws JsonProcessingException {
     if (Kinds.isTombstone(object.value())) {
       return;
     }
-    RoutingConfiguration read = Json.STRICT.treeToValue(object.value(), RoutingConfiguration.class);
-    configuration = Optional.of(read);
-    routes = RouteIndex.of(read.routes());
-    keys = read.workspaces().map(KeyIndex::of).orElse(KeyIndex.open());
+    RoutingConfiguration parsed =
+        Json.STRICT.treeToValue(object.value(), RoutingConfiguration.class);
+    configuration = Optional.of(parsed);
+    routes = RouteIndex.of(parsed.routes());
+    keys = parsed.workspaces().map(KeyIndex::of).orElse(KeyIndex.open());
     services.clear();
-    read.services().forEach(service -> services.put(service.name(), service));
+    parsed.services().forEach(service -> services.put(service.name(), service));
     logger.atInfo().log(
         "configuration version=%d revision=%s is in force, %d routes %s",
-        read.version(), object.revision(), read.routes().size(), origin);
+        parsed.version(), object.revision(), parsed.routes().size(), origin);
   }
 
-  private void takeUpstream(StoredObject object, Origin origin) throws JsonProcessingException {
+  private void applyUpstream(StoredObject object, Origin origin) throws JsonProcessingException {
     String name = object.key().name();
     if (Kinds.isTombstone(object.value())) {
       upstreams.remove(name);
-      noteGone(object, origin);
+      logRemoval(object, origin);
       return;
     }
-    UpstreamRecord read = Json.STRICT.treeToValue(object.value(), UpstreamRecord.class);
-    Optional<UpstreamRecord> known = upstreams.put(name, read);
-    if (known.isEmpty() || known.get().leaving() != read.leaving()) {
+    UpstreamRecord parsed = Json.STRICT.treeToValue(object.value(), UpstreamRecord.class);
+    Optional<UpstreamRecord> known = upstreams.put(name, parsed);
+    if (known.isEmpty() || known.get().leaving() != parsed.leaving()) {
       logger.atInfo().log(
           "upstream %s revision=%s service=%s version=%s zone=%s leaving=%b cold=%s %s",
           name,
           object.revision(),
-          read.service(),
-          read.version(),
-          read.zone(),
-          read.leaving(),
-          read.coldMillis(),
+          parsed.service(),
+          parsed.version(),
+          parsed.zone(),
+          parsed.leaving(),
+          parsed.coldMillis(),
           origin);
     }
   }
 
-  private static void noteGone(StoredObject object, Origin origin) {
+  private static void logRemoval(StoredObject object, Origin origin) {
     Optional<String> problem = Kinds.problemOfUnusable(object.value());
     if (problem.isPresent()) {
-      logger.atWarning().atMostEvery(UNUSABLE_LINES_SECONDS, TimeUnit.SECONDS).log(
-          "entry %s revision=%s names no upstream to use: %s %s",
+      logger.atWarning().atMostEvery(UNUSABLE_LOG_INTERVAL_SECONDS, TimeUnit.SECONDS).log(
+          "entry %s revision=%s is unusable as an upstream: %s %s",
           object.key(), object.revision(), problem.get(), origin);
     } else {
       logger.atInfo().log(
-          "upstream %s revision=%s is gone %s", object.key().name(), object.revision(), origin);
+          "upstream %s revision=%s is removed %s", object.key().name(), object.revision(), origin);
     }
   }
 
-  private void takeEvacuation(StoredObject object, Origin origin) {
+  private void applyEvacuation(StoredObject object, Origin origin) {
     String zone = object.key().name();
-    boolean ends = Kinds.isTombstone(object.value());
+    boolean ended = Kinds.isTombstone(object.value());
     boolean changed =
-        ends ? upstreams.takeBackZone(zone, this::service) : upstreams.emptyZone(zone);
+        ended ? upstreams.takeBackZone(zone, this::service) : upstreams.emptyZone(zone);
     if (changed) {
       logger.atInfo().log(
           "zone %s is %s revision=%s %s",
-          zone, ends ? "taken back" : "emptied", object.revision(), origin);
+          zone, ended ? "taken back" : "emptied", object.revision(), origin);
     }
   }
 
-  private void takeRollout(StoredObject object, Origin origin) throws JsonProcessingException {
+  private void applyRollout(StoredObject object, Origin origin) throws JsonProcessingException {
     String name = object.key().name();
     if (Kinds.isTombstone(object.value())) {
       rollouts.remove(name);
       return;
     }
-    ServiceRollout read = Json.STRICT.treeToValue(object.value(), ServiceRollout.class);
-    rollouts.put(name, read);
-    upstreams.versions().ordered(read.service(), read.targetVersion());
+    ServiceRollout parsed = Json.STRICT.treeToValue(object.value(), ServiceRollout.class);
+    rollouts.put(name, parsed);
+    upstreams.versions().recordOrder(parsed.service(), parsed.targetVersion());
     logger.atInfo().log(
         "roll-out of %s revision=%s to=%s state=%s %s",
-        name, object.revision(), read.targetVersion(), read.state(), origin);
+        name, object.revision(), parsed.targetVersion(), parsed.state(), origin);
   }
 
-  /** Returns the configuration in force, empty before the first one. */
+  /** Returns the configuration in force, empty until the first one is read. */
   public Optional<RoutingConfiguration> configuration() {
     return configuration;
   }
 
-  /** Returns the bounds for callers that are in force. */
+  /** Returns the caller limits in force, the defaults if there is no configuration. */
   public CallerLimits limits() {
     return configuration.map(RoutingConfiguration::limits).orElse(CallerLimits.DEFAULT);
   }
@@ -229,7 +230,7 @@
     return routes;
   }
 
-  /** Returns the keys in force. */
+  /** Returns the caller keys in force. */
   public KeyIndex keys() {
     return keys;
   }
@@ -244,51 +245,57 @@
     return upstreams.record(name);
   }
 
-  /** Returns what was learned of an upstream since its start. */
+  /** Returns the runtime state of an upstream, collected since its start. */
   public UpstreamRow row(String upstream) {
     return upstreams.row(upstream);
   }
 
-  /** Returns the availability zones whose upstreams shall get nothing. */
+  /** Returns the evacuated availability zones, whose upstreams receive no requests. */
   public Set<String> emptiedZones() {
     return upstreams.emptiedZones();
   }
 
-  /** Returns whether the upstream is in an availability zone that shall get nothing. */
+  /** Returns whether the upstream is in an evacuated availability zone. */
   public boolean isEmptied(String upstream) {
     return upstream(upstream).map(this::isEmptied).orElse(false);
   }
 
-  /** Returns whether the upstream is in an availability zone that shall get nothing. */
+  /** Returns whether the upstream is in an evacuated availability zone. */
   boolean isEmptied(UpstreamRecord upstream) {
     return upstreams.isEmptied(upstream);
   }
 
-  /** Notes that all kinds of objects were read: versions that appear from now on need an order. */
+  /**
+   * Records that all kinds of objects were read; versions that appear from now on need a roll-out
+   * order.
+   */
   public void allRead() {
-    upstreams.versions().allRead();
+    upstreams.versions().completeInitialRead();
   }
 
-  /** Returns whether the upstream's version appeared beside another and nobody has ordered it. */
+  /**
+   * Returns whether the upstream's version appeared beside another version and no roll-out order
+   * names it.
+   */
   boolean isUnordered(UpstreamRecord upstream) {
     return upstreams.versions().isUnordered(upstream.service(), upstream.version());
   }
 
-  /** Returns whether a version of some service is being brought in. */
+  /** Returns whether any service has a running roll-out. */
   public boolean isBringingIn() {
     return rollouts.values().stream().anyMatch(ServiceRollout::runs);
   }
 
   /**
-   * Returns the store's revision of what is known of an upstream, {@link StoreRevision#NONE} if
-   * nothing is.
+   * Returns the store revision of the known entry of an upstream, {@link StoreRevision#NONE} if
+   * there is none.
    */
   public StoreRevision revisionOf(String upstream) {
     ObjectKey key = ObjectKey.valueOf(GatewayKinds.UPSTREAM, upstream);
     return join.get(key).map(StoredObject::revision).orElse(StoreRevision.NONE);
   }
 
-  /** Returns whether an upstream said that it is about to go, or has gone. */
+  /** Returns whether an upstream has announced that it leaves, or is not registered. */
   public boolean isLeaving(String upstream) {
     return upstream(upstream).map(UpstreamRecord::leaving).orElse(true) || row(upstream).leaving();
   }
@@ -308,7 +315,10 @@
     return Optional.ofNullable(rollouts.get(service));
   }
 
-  /** Returns whether the store shows an earlier state of a service's roll-out than it reached. */
+  /**
+   * Returns whether the store, after a restore, holds an earlier state of a service's roll-out than
+   * the one reached.
+   */
   boolean isRolloutRetained(String service) {
     ObjectKey key = ObjectKey.valueOf(GatewayKinds.ROLLOUT, service);
     return join.get(key).map(StoredObject::retained).orElse(false);
@@ -319,7 +329,7 @@
     return rollouts.keySet();
   }
 
-  /** Returns what is known of the load of upstreams. */
+  /** Returns the load of the upstreams as this instance knows it. */
   public UpstreamTable loads() {
     return upstreams.loads();
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/KnownVersions.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/KnownVersions.java
@@ -12,39 +12,40 @@
 import org.oatlug.internal.util.BoundedMap;
 
 /**
- * Which versions of services have upstreams, and which of them nobody has ordered.
+ * Tracks which versions of services have upstreams, and which of them lack a roll-out order.
  *
- * <p>Upstreams of a new version register as soon as it is ordered, and the order may be learned
- * after them, because another watch brings it. Invariants: a version that appears beside another
- * one, after all was read, is unordered until an order names it or no other one is left; before all
- * was read every version counts as ordered, and one that did once goes on to. Owned by one event
- * loop, not thread-safe.
+ * <p>Upstreams of a new version register as soon as it is ordered. The order may arrive after them,
+ * because it comes through a separate watch. Invariants: a version that appears beside another one
+ * after the initial read is unordered until an order names it or no other version is left; until
+ * the initial read is complete every version is accepted, and an accepted version stays accepted.
+ * Owned by one event loop, not thread-safe.
  */
 final class KnownVersions {
-  /** Many times the versions that the services of a deployment have in a day. */
-  private static final int MOST_ACCEPTED = 4096;
+  /** Far above the number of versions that the services of a deployment have in a day. */
+  private static final int MAXIMUM_ACCEPTED = 4096;
 
   private final Map<Version, Integer> upstreams = new HashMap<>();
   private final Set<Version> unordered = new HashSet<>();
-  private final Set<Version> accepted = Collections.newSetFromMap(BoundedMap.ofMost(MOST_ACCEPTED));
-  private boolean allRead;
+  private final Set<Version> accepted =
+      Collections.newSetFromMap(BoundedMap.ofMost(MAXIMUM_ACCEPTED));
+  private boolean initialReadComplete;
 
   private record Version(String service, String name) {}
 
   private KnownVersions() {}
 
-  /** Returns versions of nothing. */
+  /** Returns an empty registry. */
   static KnownVersions create() {
     return new KnownVersions();
   }
 
-  /** Notes that the orders, too, have been read: what appears from now on needs one. */
-  void allRead() {
-    allRead = true;
+  /** Records that all orders have been read; versions that appear from now on need one. */
+  void completeInitialRead() {
+    initialReadComplete = true;
   }
 
-  /** Notes an order for a version. */
-  void ordered(String service, String name) {
+  /** Accepts a version that a roll-out order names. */
+  void recordOrder(String service, String name) {
     accept(new Version(service, name));
   }
 
@@ -53,21 +54,24 @@
     unordered.remove(version);
   }
 
-  /** Notes an upstream of a version. */
+  /** Records an added upstream of a version. */
   void added(String service, String name) {
     Version version = new Version(service, name);
     boolean isNew = upstreams.merge(version, 1, Integer::sum) == 1;
     if (!isNew) {
       return;
     }
-    if (allRead && !accepted.contains(version) && hasAccepted(service)) {
+    if (initialReadComplete && !accepted.contains(version) && hasAcceptedVersion(service)) {
       unordered.add(version);
     } else {
       accept(version);
     }
   }
 
-  /** Notes that an upstream of a version is gone; the last one leaves the place to another. */
+  /**
+   * Records a removed upstream of a version; if no accepted version of the service is left, the
+   * remaining ones are accepted.
+   */
   void removed(String service, String name) {
     Version version = new Version(service, name);
     if (upstreams.merge(version, -1, Integer::sum) > 0) {
@@ -75,19 +79,20 @@
     }
     upstreams.remove(version);
     unordered.remove(version);
-    if (!hasAccepted(service)) {
-      List<Version> left = unordered.stream().filter(one -> one.service().equals(service)).toList();
-      left.forEach(this::accept);
+    if (!hasAcceptedVersion(service)) {
+      List<Version> remaining =
+          unordered.stream().filter(known -> known.service().equals(service)).toList();
+      remaining.forEach(this::accept);
     }
   }
 
-  /** Returns whether a version that counts as ordered has upstreams. */
-  private boolean hasAccepted(String service) {
+  /** Returns whether any accepted version of the service has upstreams. */
+  private boolean hasAcceptedVersion(String service) {
     return upstreams.keySet().stream()
-        .anyMatch(one -> one.service().equals(service) && accepted.contains(one));
+        .anyMatch(known -> known.service().equals(service) && accepted.contains(known));
   }
 
-  /** Returns whether the version appeared beside another one and nobody has ordered it. */
+  /** Returns whether the version appeared beside another one and no roll-out order names it. */
   boolean isUnordered(String service, String name) {
     return !unordered.isEmpty() && unordered.contains(new Version(service, name));
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/RolloutDirector.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RolloutDirector.java
@@ -31,31 +31,31 @@
 import org.oatlug.platform.StoreRevision;
 
 /**
- * Moves the traffic of services to new versions, and back if they are bad.
+ * Moves the traffic of services to new versions, and rolls back bad versions.
  *
- * <p>Each instance gives the new version its share of the sessions, keeps sessions on their
- * version, and compares the answers of both versions; what all others saw is added to that. The
- * instance that has the duty for a roll-out writes the progress by a conditional update; an end
- * that was written is never changed. Invariants: a version that is known to be bad receives nothing
- * more from this instance; a session that was seen on the old version stays there during the first
- * half. Owned by one event loop, not thread-safe.
+ * <p>Each instance assigns the new version its share of the sessions, keeps sessions on their
+ * version, and compares the answers of both versions; the evidence of all other instances is added.
+ * The instance that owns a roll-out writes its progress by a conditional update; a final state that
+ * was written is never changed. Invariants: a version that is known to be bad receives no more
+ * requests from this instance; a session that was seen on the old version stays there during the
+ * first half of the duration. Owned by one event loop, not thread-safe.
  */
 public final class RolloutDirector implements VersionRule, TickSystem {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** How often duties are done. */
+  /** The interval at which owned roll-outs are advanced. */
   private static final Duration INTERVAL = Duration.ofMillis(250);
 
-  /** Fewer answers than this show nothing; a version that had fewer is not taken over. */
-  private static final long LEAST_ANSWERS = 20;
+  /** The minimum number of answers for a decision; a version with fewer is rolled back. */
+  private static final long MINIMUM_ANSWERS = 20;
 
-  /** From this evidence on, a failed request goes to the old version. */
-  private static final double SUSPICIOUS = 1;
+  /** The logarithm of the evidence above which a failed request is retried on the old version. */
+  private static final double SUSPICIOUS_EVIDENCE = 1;
 
-  /** Of trials that ended the last ones are kept: a restored store may show their orders again. */
-  private static final int MOST_TRIALS = 256;
+  /** The maximum number of trials; ended ones are kept, as a restored store may repeat orders. */
+  private static final int MAXIMUM_TRIALS = 256;
 
-  /** The number of hashes without a sign. */
+  /** The number of non-negative hashes. */
   private static final double HASH_RANGE = Math.pow(2, 63);
 
   private final GatewayTables tables;
@@ -64,10 +64,10 @@
   private final InstantSource clock;
   private final Meters meters;
   private final RolloutSchedule schedule;
-  private final KeptSessions sessions;
-  private final Map<TrialKey, RolloutTrial> trials = BoundedMap.ofMost(MOST_TRIALS);
+  private final ReplicatedSessions sessions;
+  private final Map<TrialKey, RolloutTrial> trials = BoundedMap.ofMost(MAXIMUM_TRIALS);
   private Runnable onRefuted = () -> {};
-  private Instant next = Instant.EPOCH;
+  private Instant nextTick = Instant.EPOCH;
 
   private record TrialKey(String service, String version) {}
 
@@ -83,11 +83,11 @@
     this.membership = membership;
     this.clock = clock;
     this.meters = meters;
-    this.schedule = RolloutSchedule.within(bounds.exposureShare());
-    this.sessions = KeptSessions.withPause(bounds.session(), this::movesAtOnce);
+    this.schedule = RolloutSchedule.withExposureBound(bounds.exposureShare());
+    this.sessions = ReplicatedSessions.withPause(bounds.session(), this::movesImmediately);
   }
 
-  /** Returns a director that has seen nothing yet. */
+  /** Returns a director without sessions and evidence. */
   public static RolloutDirector create(
       GatewayTables tables,
       Platform platform,
@@ -113,50 +113,51 @@
     if (state.equals(Optional.of(State.ROLLED_BACK)) || trial.isRefuted()) {
       return Optional.of(new Wish(target, false, Firmness.REQUIRED, Optional.empty()));
     }
-    return Optional.of(wishWhileRunning(service, rollout.get(), trial, head, tried));
+    return Optional.of(preferenceWhileRunning(service, rollout.get(), trial, head, tried));
   }
 
-  private Wish wishWhileRunning(
+  private Wish preferenceWhileRunning(
       String service, ServiceRollout rollout, RolloutTrial trial, RequestHead head, Tried tried) {
     VersionBasis now = basisOf(service, rollout, trial, head);
-    // An attempt of the request itself makes its session known, but not one that goes on.
-    VersionBasis basis = tried.basis().map(now::knownAsIn).orElse(now);
+    // An earlier attempt of this request records its session, which does not make it a known one.
+    VersionBasis basis = tried.basis().map(now::withKnowledgeOf).orElse(now);
     String target = rollout.targetVersion();
-    boolean failedThere = tried.failedVersion().equals(Optional.of(target));
+    boolean failedOnTarget = tried.failedVersion().equals(Optional.of(target));
     return new VersionChoice(
             target,
             basis,
-            positionOf(basis.session().orElse(Hashes.hash64(head.id()))) < basis.share(),
-            failedThere && trial.allEvidence() > SUSPICIOUS,
+            hashFraction(basis.session().orElse(Hashes.hash64(head.id()))) < basis.share(),
+            failedOnTarget && trial.totalEvidence() > SUSPICIOUS_EVIDENCE,
             schedule.isSettling(ageOf(rollout, trial)),
             schedule.sessionsMayMove(basis.part()))
-        .wish();
+        .preference();
   }
 
   private VersionBasis basisOf(
       String service, ServiceRollout rollout, RolloutTrial trial, RequestHead head) {
-    OptionalLong session = SessionVersions.sessionOf(head);
-    double part = partOf(rollout, trial);
-    double share = schedule.shareAt(part);
+    OptionalLong session = SessionVersions.sessionHash(head);
+    double elapsedFraction = elapsedFraction(rollout, trial);
+    double share = schedule.shareAt(elapsedFraction);
     if (session.isEmpty()) {
-      return new VersionBasis(session, Knowledge.NO_SESSION, "", 0, part, share);
+      return new VersionBasis(session, Knowledge.NO_SESSION, "", 0, elapsedFraction, share);
     }
     Instant now = clock.instant();
-    Optional<SessionVersions.Seen> seen = sessions.of(service).lastOf(session.getAsLong(), now);
+    Optional<SessionVersions.Observation> seen =
+        sessions.of(service).lastObservation(session.getAsLong(), now);
     if (seen.isEmpty()) {
-      return new VersionBasis(session, Knowledge.UNKNOWN, "", 0, part, share);
+      return new VersionBasis(session, Knowledge.UNKNOWN, "", 0, elapsedFraction, share);
     }
-    Knowledge knowledge = seen.get().here() ? Knowledge.SEEN_HERE : Knowledge.TOLD;
+    Knowledge knowledge = seen.get().isLocal() ? Knowledge.SEEN_HERE : Knowledge.TOLD;
     long age = Duration.between(seen.get().at(), now).toMillis();
-    return new VersionBasis(session, knowledge, seen.get().version(), age, part, share);
+    return new VersionBasis(session, knowledge, seen.get().version(), age, elapsedFraction, share);
   }
 
-  private static double positionOf(long number) {
+  private static double hashFraction(long number) {
     return (Hashes.combine(number, 0) & Long.MAX_VALUE) / HASH_RANGE;
   }
 
-  /** Returns which part of its duration the roll-out has used; above 1 when it is late. */
-  private double partOf(ServiceRollout rollout, RolloutTrial trial) {
+  /** Returns the fraction of its duration that has elapsed; above 1 if the roll-out is late. */
+  private double elapsedFraction(ServiceRollout rollout, RolloutTrial trial) {
     long age = ageOf(rollout, trial).toMillis();
     return (double) age / Math.max(1, rollout.durationMillis());
   }
@@ -167,59 +168,60 @@
 
   @Override
   public void sent(String service, String version, RequestHead head) {
-    SessionVersions.sessionOf(head).ifPresent(session -> noteSeen(service, version, session));
+    SessionVersions.sessionHash(head)
+        .ifPresent(session -> recordSession(service, version, session));
   }
 
-  private void noteSeen(String service, String version, long session) {
+  private void recordSession(String service, String version, long session) {
     Instant now = clock.instant();
     SessionVersions seen = sessions.of(service);
     tables
         .rollout(service)
         .filter(ServiceRollout::runs)
-        .flatMap(rollout -> seen.lastOf(session, now))
-        .filter(before -> !before.version().equals(version))
-        .ifPresent(before -> countMove(service, version));
-    sessions.seen(service, session, version, now);
+        .flatMap(rollout -> seen.lastObservation(session, now))
+        .filter(previous -> !previous.version().equals(version))
+        .ifPresent(previous -> countMove(service, version));
+    sessions.recordLocal(service, session, version, now);
   }
 
-  /** Counts a session that goes on at another version than before. */
+  /** Counts a session that continues on another version. */
   private void countMove(String service, String version) {
     ServiceRollout rollout = tables.rollout(service).orElseThrow();
     boolean toTarget = version.equals(rollout.targetVersion());
-    boolean early = !schedule.sessionsMayMove(partOf(rollout, trialOf(service, rollout)));
+    boolean early = !schedule.sessionsMayMove(elapsedFraction(rollout, trialOf(service, rollout)));
     meters.count(
         toTarget ? early ? "session.moved-early" : "session.moved-to-new" : "session.moved-back");
   }
 
   @Override
   public void answered(Answer answer) {
-    judge(answer.service(), trial -> trial.add(answer, clock.instant()));
+    updateTrial(answer.service(), trial -> trial.add(answer, clock.instant()));
   }
 
   @Override
   public void paced(Pace pace) {
-    judge(pace.service(), trial -> trial.add(pace, clock.instant()));
+    updateTrial(pace.service(), trial -> trial.add(pace, clock.instant()));
   }
 
-  private void judge(String service, Consumer<RolloutTrial> judgement) {
+  private void updateTrial(String service, Consumer<RolloutTrial> update) {
     Optional<RolloutTrial> running = runningTrial(service).filter(trial -> !trial.isRefuted());
-    running.ifPresent(judgement);
+    running.ifPresent(update);
     if (running.filter(RolloutTrial::isRefuted).isPresent()) {
       RolloutTrial trial = running.get();
       meters.count("rollout.halted-here");
       logger.atWarning().log(
-          "version %s of %s is refuted here, evidence=%.1f answers=%d",
-          trial.version(), service, trial.ownEvidence(), trial.ownAnswers());
+          "version %s of %s is refuted by local evidence, evidence=%.1f answers=%d",
+          trial.version(), service, trial.localEvidence(), trial.localAnswers());
       onRefuted.run();
     }
   }
 
-  /** Sets what is done at once when a version turns out to be bad. */
+  /** Sets the action that runs as soon as a version is found to be bad. */
   public void onRefuted(Runnable action) {
     onRefuted = action;
   }
 
-  /** Returns whether it is known how long ago the versions were ordered that are brought in. */
+  /** Returns whether the age of the order is known for every running roll-out. */
   public boolean knowsAges() {
     return tables.servicesWithRollout().stream()
         .flatMap(service -> runningTrial(service).stream())
@@ -228,29 +230,29 @@
 
   @Override
   public List<RolloutStatus> status() {
-    List<RolloutStatus> all = new ArrayList<>();
+    List<RolloutStatus> statuses = new ArrayList<>();
     for (String service : tables.servicesWithRollout()) {
       ServiceRollout rollout = tables.rollout(service).orElseThrow();
       if (rollout.runs()) {
-        all.add(statusOf(service, rollout, trialOf(service, rollout)));
+        statuses.add(statusOf(service, rollout, trialOf(service, rollout)));
       }
     }
-    return all;
+    return statuses;
   }
 
   private RolloutStatus statusOf(String service, ServiceRollout rollout, RolloutTrial trial) {
-    double part = partOf(rollout, trial);
+    double elapsedFraction = elapsedFraction(rollout, trial);
     return new RolloutStatus(
         service,
         trial.version(),
-        part,
-        schedule.shareAt(part),
-        trial.allEvidence(),
-        trial.allAnswers(),
+        elapsedFraction,
+        schedule.shareAt(elapsedFraction),
+        trial.totalEvidence(),
+        trial.totalAnswers(),
         trial.isRefuted());
   }
 
-  /** Returns what this instance has seen of versions that are brought in. */
+  /** Returns the evidence of this instance about versions under roll-out. */
   public List<VersionEvidence> evidence() {
     List<VersionEvidence> seen = new ArrayList<>();
     for (String service : tables.servicesWithRollout()) {
@@ -264,105 +266,105 @@
         service,
         trial.version(),
         trial.orderedAt(),
-        trial.ownSeen(),
-        trial.ownAnswers(),
+        trial.localPairs(),
+        trial.localAnswers(),
         trial.isRefuted(),
         trial.age().told(clock.instant()));
   }
 
-  /** Takes in what all other instances have seen. */
-  public void heard(VersionEvidence others) {
-    runningTrial(others.service())
-        .filter(trial -> trial.isOf(others.version(), others.orderedAt()))
-        .ifPresent(trial -> heard(trial, others));
+  /** Adds the evidence of all other instances. */
+  public void heard(VersionEvidence remote) {
+    runningTrial(remote.service())
+        .filter(trial -> trial.matches(remote.version(), remote.orderedAt()))
+        .ifPresent(trial -> addRemoteEvidence(trial, remote));
   }
 
-  private void heard(RolloutTrial trial, VersionEvidence others) {
-    trial.heard(others, clock.instant());
+  private void addRemoteEvidence(RolloutTrial trial, VersionEvidence remote) {
+    trial.addRemoteEvidence(remote, clock.instant());
     if (trial.isRefuted()) {
       return;
     }
-    if (others.refuted()) {
+    if (remote.refuted()) {
       trial.refute();
       logger.atWarning().log(
-          "version %s of %s is refuted elsewhere", trial.version(), others.service());
-    } else if (RolloutGuard.refutesTogether(trial.allEvidence())) {
+          "version %s of %s is refuted by another instance", trial.version(), remote.service());
+    } else if (RolloutGuard.refutesTogether(trial.totalEvidence())) {
       trial.refute();
       logger.atWarning().log(
-          "version %s of %s is refuted by all together, evidence=%.1f answers=%d",
-          trial.version(), others.service(), trial.allEvidence(), trial.allAnswers());
+          "version %s of %s is refuted by the evidence of all instances, evidence=%.1f answers=%d",
+          trial.version(), remote.service(), trial.totalEvidence(), trial.totalAnswers());
       onRefuted.run();
     }
   }
 
-  /** Returns the sessions that others have to know of, those seen here since the last call. */
+  /** Returns the sessions to replicate that were seen here since the last call. */
   public List<SeenSession> newlySeen() {
-    return sessions.toTell(clock.instant());
+    return sessions.drainPending(clock.instant());
   }
 
-  /** Returns all such sessions seen here that count still. */
+  /** Returns all unexpired sessions to replicate that were seen here. */
   public List<SeenSession> seenHere() {
-    return sessions.all(clock.instant(), SessionVersions.Seen::here);
+    return sessions.matching(clock.instant(), SessionVersions.Observation::isLocal);
   }
 
-  /** Returns all such sessions that count still, those that others told of included. */
+  /** Returns all unexpired sessions to replicate, including those of other instances. */
   public List<SeenSession> allSeen() {
-    return sessions.all(clock.instant(), seen -> true);
+    return sessions.matching(clock.instant(), seen -> true);
   }
 
-  private boolean movesAtOnce(long session) {
-    return positionOf(session) < schedule.shareAt(0);
+  private boolean movesImmediately(long session) {
+    return hashFraction(session) < schedule.shareAt(0);
   }
 
-  /** Takes in a session that another instance has seen. */
+  /** Records a session that another instance has seen. */
   public void heardSession(SeenSession session) {
-    sessions.heard(session, clock.instant());
+    sessions.recordRemote(session, clock.instant());
   }
 
   @Override
   public void tick() {
     Instant now = clock.instant();
-    if (now.isBefore(next)) {
+    if (now.isBefore(nextTick)) {
       return;
     }
-    next = now.plus(INTERVAL);
+    nextTick = now.plus(INTERVAL);
     for (String service : tables.servicesWithRollout()) {
       ServiceRollout rollout = tables.rollout(service).orElseThrow();
       Optional<RolloutTrial> trial = runningTrial(service);
-      if (!hasDuty(service)) {
+      if (!isOwner(service)) {
         continue;
       }
       if (tables.isRolloutRetained(service)) {
-        writeAgain(service, rollout);
+        rewrite(service, rollout);
       } else {
-        trial.ifPresent(running -> direct(service, rollout, running));
+        trial.ifPresent(running -> advance(service, rollout, running));
       }
     }
   }
 
-  /** Writes what a roll-out had reached when the store was restored from an earlier copy. */
-  private void writeAgain(String service, ServiceRollout rollout) {
+  /** Rewrites the progress of a roll-out that was lost when the store was restored from a copy. */
+  private void rewrite(String service, ServiceRollout rollout) {
     Optional<StoreRevision> replaced = writer.write(service, rollout);
     if (replaced.isPresent()) {
       logger.atInfo().log(
-          "roll-out of %s to %s: %s is written again after a restore, revision=%s",
+          "roll-out of %s to %s: %s is rewritten after a restore of the store, revision=%s",
           service, rollout.targetVersion(), rollout.state(), replaced.get());
     }
   }
 
-  private boolean hasDuty(String service) {
+  private boolean isOwner(String service) {
     return membership.ownerOf("rollout-" + service).map(membership::isSelf).orElse(true);
   }
 
-  private void direct(String service, ServiceRollout rollout, RolloutTrial trial) {
-    if (trial.isRefuted() || RolloutGuard.refutesTogether(trial.allEvidence())) {
+  private void advance(String service, ServiceRollout rollout, RolloutTrial trial) {
+    if (trial.isRefuted() || RolloutGuard.refutesTogether(trial.totalEvidence())) {
       trial.refute();
       write(service, rollout, trial, State.ROLLED_BACK);
       return;
     }
-    if (schedule.isDue(partOf(rollout, trial))) {
-      boolean shown = trial.allAnswers() >= LEAST_ANSWERS;
-      write(service, rollout, trial, shown ? State.SUCCEEDED : State.ROLLED_BACK);
+    if (schedule.isDecisionDue(elapsedFraction(rollout, trial))) {
+      boolean hasEnoughAnswers = trial.totalAnswers() >= MINIMUM_ANSWERS;
+      write(service, rollout, trial, hasEnoughAnswers ? State.SUCCEEDED : State.ROLLED_BACK);
     } else if (rollout.state().isEmpty()) {
       write(service, rollout, trial, State.RUNNING);
     }
@@ -379,9 +381,9 @@
           service,
           rollout.targetVersion(),
           state,
-          trial.allEvidence(),
-          trial.allAnswers(),
-          partOf(rollout, trial),
+          trial.totalEvidence(),
+          trial.totalAnswers(),
+          elapsedFraction(rollout, trial),
           replaced.get());
     }
   }
@@ -396,7 +398,7 @@
   private RolloutTrial trialOf(String service, ServiceRollout rollout) {
     TrialKey key = new TrialKey(service, rollout.targetVersion());
     RolloutTrial known = trials.get(key);
-    if (known == null || !known.continuesAs(rollout.targetVersion(), rollout.orderedAt())) {
+    if (known == null || !known.adoptOrder(rollout.targetVersion(), rollout.orderedAt())) {
       OrderAge age = OrderAge.learned(clock.instant(), rollout.state().isEmpty());
       known = RolloutTrial.of(rollout.targetVersion(), rollout.orderedAt(), age);
       trials.put(key, known);
--- a/org.oatlug/src/org/oatlug/internal/gateway/RolloutSchedule.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RolloutSchedule.java
@@ -6,36 +6,37 @@
 import java.time.Duration;
 
 /**
- * Which share of the sessions a version under roll-out gets as time goes on.
+ * Defines the share of the sessions that a version under roll-out receives over time.
  *
- * <p>A small fixed share first, so that no session has to change its version while the comparison
- * runs; then the whole share within the bound; then evenly more, so that prompts are read by the
- * new upstreams little by little and a version that fails under load only shows it early; then all,
- * so that the old upstreams are empty when the roll-out ends, because they stop at once. When it
- * has just got all, the version has received less than 13 of 100 requests of the whole duration,
- * which leaves time to find out before the usual bound of 15 and a reserve. Immutable.
+ * <p>The share starts small and fixed, so that no session has to change its version during the
+ * comparison. It then rises to the exposure bound, and from there linearly, so that the new
+ * upstreams prefill the moved prompts gradually and a version that fails only under load is
+ * detected early. It reaches all sessions before the end, because the old upstreams stop as soon as
+ * the roll-out ends and have to be drained by then. When the share reaches 1, the version has
+ * received less than 13 % of the requests of the whole duration, which leaves time to detect a
+ * fault before the usual exposure bound of 15 % is used up, and a reserve. Immutable.
  */
 final class RolloutSchedule {
-  /** Up to this part of the duration sessions stay where they are. */
-  private static final double COMPARE_UNTIL = 0.5;
+  /** The fraction of the duration until which sessions keep their version. */
+  private static final double COMPARISON_END = 0.5;
 
-  /** Up to this part the version gets the whole share within the bound. */
-  private static final double BOUND_UNTIL = 0.6;
+  /** The fraction of the duration until which the share stays within the exposure bound. */
+  private static final double BOUND_END = 0.6;
 
-  /** From this part on it gets all; a longer growth would use up the bound. */
-  private static final double ALL_FROM = 0.72;
+  /** The fraction from which the share is 1; a longer ramp would use up the exposure bound. */
+  private static final double FULL_SHARE_START = 0.72;
 
-  /** At this part of the duration the roll-out is declared done, if nothing speaks against it. */
-  private static final double DONE_AT = 0.92;
+  /** The fraction at which the roll-out is decided, unless it was rolled back before. */
+  private static final double DECISION_POINT = 0.92;
 
-  /** What the version gets during the comparison, as a share of the bound. */
-  private static final double COMPARE_SHARE_OF_BOUND = 0.6;
+  /** The share during the comparison, as a fraction of the exposure bound. */
+  private static final double COMPARISON_SHARE_OF_BOUND = 0.6;
 
   /**
-   * How long after an order sessions of which nothing is known stay on the old version: longer than
-   * what another instance saw takes to come here, which is up to a second in zones of 30.
+   * The time after an order during which unknown sessions stay on the old version. It exceeds the
+   * time for sessions to be replicated from another instance, up to 1 s in zones of 30 instances.
    */
-  private static final Duration SETTLING = Duration.ofMillis(1500);
+  private static final Duration SETTLING_TIME = Duration.ofMillis(1500);
 
   private final double exposureShare;
 
@@ -43,35 +44,40 @@
     this.exposureShare = exposureShare;
   }
 
-  /** Returns a schedule for a deployment that bounds the share of a bad version. */
-  static RolloutSchedule within(double exposureShare) {
+  /**
+   * Returns a schedule.
+   *
+   * @param exposureShare the bound on the share of requests that a bad version may receive, 0 to 1
+   */
+  static RolloutSchedule withExposureBound(double exposureShare) {
     return new RolloutSchedule(exposureShare);
   }
 
-  /** Returns the share of sessions at a part of the duration, 0 to 1. */
-  double shareAt(double part) {
-    if (part < COMPARE_UNTIL) {
-      return exposureShare * COMPARE_SHARE_OF_BOUND;
+  /** Returns the share of sessions, 0 to 1, at a fraction of the duration. */
+  double shareAt(double elapsedFraction) {
+    if (elapsedFraction < COMPARISON_END) {
+      return exposureShare * COMPARISON_SHARE_OF_BOUND;
     }
-    double grown = Math.max(0, (part - BOUND_UNTIL) / (ALL_FROM - BOUND_UNTIL));
-    return Math.min(1, exposureShare + (1 - exposureShare) * grown);
+    double rampFraction =
+        Math.max(0, (elapsedFraction - BOUND_END) / (FULL_SHARE_START - BOUND_END));
+    return Math.min(1, exposureShare + (1 - exposureShare) * rampFraction);
   }
 
   /**
-   * Returns whether it may still be unknown here that a session goes on: what was seen shortly
-   * before the order is on its way.
+   * Returns whether a session that continues may still be unknown here, because sessions seen
+   * shortly before the order are still being replicated.
    */
   boolean isSettling(Duration age) {
-    return age.compareTo(SETTLING) < 0;
+    return age.compareTo(SETTLING_TIME) < 0;
   }
 
-  /** Returns whether sessions may move to the version at this part of the duration. */
-  boolean sessionsMayMove(double part) {
-    return part >= COMPARE_UNTIL;
+  /** Returns whether known sessions may move to the version at this fraction of the duration. */
+  boolean sessionsMayMove(double elapsedFraction) {
+    return elapsedFraction >= COMPARISON_END;
   }
 
-  /** Returns whether the roll-out has to be decided. */
-  boolean isDue(double part) {
-    return part >= DONE_AT;
+  /** Returns whether the roll-out is to be decided at this fraction of the duration. */
+  boolean isDecisionDue(double elapsedFraction) {
+    return elapsedFraction >= DECISION_POINT;
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/RolloutStatus.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RolloutStatus.java
@@ -4,15 +4,15 @@
 package org.oatlug.internal.gateway;
 
 /**
- * How far a roll-out has come as one instance sees it, for an operator. Immutable.
+ * Progress of a roll-out as one instance sees it, for operators. Immutable.
  *
  * @param service the service
- * @param version the version that is brought in
- * @param part the part of the duration that has passed; above 1 when it is late
- * @param share the share of the sessions that the version gets, 0 to 1
+ * @param version the version that is rolled out
+ * @param part the fraction of the duration that has elapsed; above 1 if the roll-out is late
+ * @param share the share of the sessions that the version receives, 0 to 1
  * @param evidence the logarithm of the evidence against the version, of all instances
- * @param answers how many answers of the version all instances have seen
- * @param refuted whether this instance takes it for bad
+ * @param answers the number of answers of the version that all instances have seen
+ * @param refuted whether this instance has rejected the version as bad
  */
 public record RolloutStatus(
     String service,
--- a/org.oatlug/src/org/oatlug/internal/gateway/RolloutTrial.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RolloutTrial.java
@@ -14,40 +14,43 @@
 import org.oatlug.platform.StoreRevision;
 
 /**
- * What is known of one roll-out that runs: own evidence and that of other instances.
+ * Collects the evidence about one running roll-out, from this instance and from others.
  *
  * <p>Owned by one event loop, not thread-safe.
  */
 final class RolloutTrial {
   /**
-   * Times are compared only within this span: the old version's answers of an earlier load say
-   * nothing of the new one's under the present load.
+   * The window within which times are compared; times of the old version under an earlier load are
+   * not comparable with those of the new version under the present load.
    */
-  private static final Duration COMPARED_WITHIN = Duration.ofSeconds(1);
+  private static final Duration COMPARISON_WINDOW = Duration.ofSeconds(1);
 
-  /** An answer is late to begin that takes this many times the old version's median. */
+  /** The multiple of the old version's median above which the head of an answer is late. */
   private static final double LATE_FACTOR = 4;
 
-  /** Added to the bound of lateness, in milliseconds, against chance at short times. */
+  /** Margin added to the lateness bound, in milliseconds, against noise at short times. */
   private static final double LATE_MARGIN_MILLIS = 60;
 
   /**
-   * A version is late only while this share of its answers is. Bad versions are in about half of
-   * them; a good one with all requests and cold caches in about one of eight.
+   * The share of late answers from which on lateness counts against a version. A bad version is
+   * late in about half of its answers, a good one with all requests and cold caches in about 1/8.
    */
-  private static final double LEAST_LATE_SHARE = 0.25;
+  private static final double MINIMUM_LATE_SHARE = 0.25;
 
   /**
-   * A stream is slow whose events take this many times the old version's median. Slow versions took
-   * 1.7 to 5 times the median on the days of both sites, good ones with cold caches 1.4 times.
+   * The multiple of the old version's median event interval above which a stream is slow. Slow
+   * versions take 1.7 to 5 times the median, good ones with cold caches 1.4 times.
    */
   private static final double SLOW_FACTOR = 1.8;
 
-  /** Added to the bound of slowness, in milliseconds for an event. */
+  /** Margin added to the slowness bound, in milliseconds per event. */
   private static final double SLOW_MARGIN_MILLIS = 5;
 
-  /** Nearly all streams of a slow version are slow; of a good one on cold engines a quarter. */
-  private static final double LEAST_SLOW_SHARE = 0.4;
+  /**
+   * The share of slow streams from which on slowness counts against a version. Nearly all streams
+   * of a slow version are slow, and a quarter of those of a good one on cold engines.
+   */
+  private static final double MINIMUM_SLOW_SHARE = 0.4;
 
   private final String version;
   private StoreRevision orderedAt;
@@ -56,12 +59,14 @@
   private final SequentialTest failures = SequentialTest.create();
   private final SequentialTest lateness = SequentialTest.create();
   private final SequentialTest slowness = SequentialTest.create();
-  private final Slowness begins = Slowness.above(LATE_FACTOR, LATE_MARGIN_MILLIS, LEAST_LATE_SHARE);
-  private final Slowness paces = Slowness.above(SLOW_FACTOR, SLOW_MARGIN_MILLIS, LEAST_SLOW_SHARE);
-  private Instant comparedSince = Instant.EPOCH;
-  private ComparedPairs seenByOthers = ComparedPairs.NONE;
-  private long answers;
-  private long answersOfOthers;
+  private final SlownessDetector headDelays =
+      SlownessDetector.withThresholds(LATE_FACTOR, LATE_MARGIN_MILLIS, MINIMUM_LATE_SHARE);
+  private final SlownessDetector eventIntervals =
+      SlownessDetector.withThresholds(SLOW_FACTOR, SLOW_MARGIN_MILLIS, MINIMUM_SLOW_SHARE);
+  private Instant windowStart = Instant.EPOCH;
+  private ComparedPairs remotePairs = ComparedPairs.NONE;
+  private long localAnswers;
+  private long remoteAnswers;
   private boolean refuted;
 
   private RolloutTrial(String version, StoreRevision orderedAt, OrderAge age) {
@@ -71,31 +76,29 @@
     this.age = age;
   }
 
-  /** Returns a trial of the version without evidence, for the order made at the revision. */
+  /** Returns a trial without evidence for the version ordered at the revision. */
   static RolloutTrial of(String version, StoreRevision orderedAt, OrderAge age) {
     return new RolloutTrial(version, orderedAt, age);
   }
 
-  /**
-   * Returns whether the trial belongs to the order; what an earlier order showed counts no more.
-   */
-  boolean isOf(String otherVersion, StoreRevision otherOrderedAt) {
+  /** Returns whether the trial belongs to the order; evidence of an earlier order is ignored. */
+  boolean matches(String otherVersion, StoreRevision otherOrderedAt) {
     boolean sameOrder =
         orderedAt.equals(otherOrderedAt) || orderedBeforeRestore.equals(otherOrderedAt);
     return version.equals(otherVersion) && sameOrder;
   }
 
   /**
-   * Continues with an order that the store shows at another revision since it was restored; returns
-   * whether the trial belongs to the order.
+   * Adopts the order's new revision if the store was restored since; returns whether the trial
+   * belongs to the order.
    */
-  boolean continuesAs(String otherVersion, StoreRevision otherOrderedAt) {
+  boolean adoptOrder(String otherVersion, StoreRevision otherOrderedAt) {
     boolean restored = otherOrderedAt.epoch() > orderedAt.epoch();
     if (restored && version.equals(otherVersion)) {
       orderedBeforeRestore = orderedAt;
       orderedAt = otherOrderedAt;
     }
-    return isOf(otherVersion, otherOrderedAt);
+    return matches(otherVersion, otherOrderedAt);
   }
 
   /** Returns the revision at which the version was ordered. */
@@ -107,31 +110,31 @@
     return version;
   }
 
-  /** Returns how long ago the order was made. */
+  /** Returns the age of the order. */
   OrderAge age() {
     return age;
   }
 
-  /** Takes in an answer seen here. */
+  /** Adds an answer seen by this instance. */
   void add(VersionRule.Answer answer, Instant now) {
     boolean ofCandidate = answer.version().equals(version);
-    answers += ofCandidate ? 1 : 0;
+    localAnswers += ofCandidate ? 1 : 0;
     add(failures, ofCandidate, answer.failed());
     if (!answer.failed()) {
-      forgetOldTimes(now);
-      String kind = kindOf(answer.route(), answer.model());
-      add(lateness, ofCandidate, begins.isSlow(kind, answer.took().toMillis(), ofCandidate));
+      resetExpiredWindow(now);
+      String group = groupOf(answer.route(), answer.model());
+      add(lateness, ofCandidate, headDelays.isSlow(group, answer.took().toMillis(), ofCandidate));
     }
-    refuted |= RolloutGuard.refutesAlone(ownEvidence());
+    refuted |= RolloutGuard.refutesAlone(localEvidence());
   }
 
-  /** Takes in how fast a stream goes here. */
+  /** Adds the event interval of a stream seen by this instance. */
   void add(VersionRule.Pace pace, Instant now) {
     boolean ofCandidate = pace.version().equals(version);
-    String kind = pace.model().isEmpty() ? pace.route().name() : pace.model();
-    forgetOldTimes(now);
-    add(slowness, ofCandidate, paces.isSlow(kind, pace.millisPerEvent(), ofCandidate));
-    refuted |= RolloutGuard.refutesAlone(ownEvidence());
+    String group = pace.model().isEmpty() ? pace.route().name() : pace.model();
+    resetExpiredWindow(now);
+    add(slowness, ofCandidate, eventIntervals.isSlow(group, pace.millisPerEvent(), ofCandidate));
+    refuted |= RolloutGuard.refutesAlone(localEvidence());
   }
 
   private static void add(SequentialTest test, boolean ofCandidate, boolean bad) {
@@ -142,57 +145,57 @@
     }
   }
 
-  private void forgetOldTimes(Instant now) {
-    if (now.isAfter(comparedSince.plus(COMPARED_WITHIN))) {
-      comparedSince = now;
+  private void resetExpiredWindow(Instant now) {
+    if (now.isAfter(windowStart.plus(COMPARISON_WINDOW))) {
+      windowStart = now;
       lateness.forgetUnpaired();
       slowness.forgetUnpaired();
     }
   }
 
-  private static String kindOf(Route route, String model) {
+  private static String groupOf(Route route, String model) {
     return route.name() + " " + model;
   }
 
-  /** Takes in what all other instances have seen, or a part of it; counts never shrink. */
-  void heard(VersionEvidence others, Instant now) {
-    age.heard(others.ageMillis(), now);
-    seenByOthers = seenByOthers.join(others.pairs());
-    answersOfOthers = Math.max(answersOfOthers, others.answers());
+  /** Merges all or part of the evidence of the other instances; counts never decrease. */
+  void addRemoteEvidence(VersionEvidence remote, Instant now) {
+    age.heard(remote.ageMillis(), now);
+    remotePairs = remotePairs.join(remote.pairs());
+    remoteAnswers = Math.max(remoteAnswers, remote.answers());
   }
 
-  /** Notes that the version is bad, whoever found it. */
+  /** Marks the version as bad, whichever instance detected it. */
   void refute() {
     refuted = true;
   }
 
-  /** Returns whether the version is bad as far as this instance knows. */
+  /** Returns whether this instance knows that the version is bad. */
   boolean isRefuted() {
     return refuted;
   }
 
-  /** Returns the logarithm of the own evidence. */
-  double ownEvidence() {
-    return ownSeen().logEvidence();
+  /** Returns the logarithm of the evidence of this instance. */
+  double localEvidence() {
+    return localPairs().logEvidence();
   }
 
-  /** Returns the pairs of answers seen here. */
-  ComparedPairs ownSeen() {
+  /** Returns the compared pairs of answers seen by this instance. */
+  ComparedPairs localPairs() {
     return new ComparedPairs(failures.counts(), lateness.counts(), slowness.counts());
   }
 
-  /** Returns the answers of the version seen here. */
-  long ownAnswers() {
-    return answers;
+  /** Returns the number of answers of the version that this instance has seen. */
+  long localAnswers() {
+    return localAnswers;
   }
 
   /** Returns the logarithm of the evidence of all instances. */
-  double allEvidence() {
-    return ownSeen().plus(seenByOthers).logEvidence();
+  double totalEvidence() {
+    return localPairs().plus(remotePairs).logEvidence();
   }
 
-  /** Returns the answers of the version that all instances have seen. */
-  long allAnswers() {
-    return answers + answersOfOthers;
+  /** Returns the number of answers of the version that all instances have seen. */
+  long totalAnswers() {
+    return localAnswers + remoteAnswers;
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/RolloutWriter.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RolloutWriter.java
@@ -18,10 +18,10 @@
 import org.oatlug.platform.StoredObject;
 
 /**
- * Writes the progress of roll-outs to the platform, each by a condition on what is known.
+ * Writes the progress of roll-outs to the platform by updates conditional on the known revision.
  *
- * <p>Invariants: one write is open at a time; what another instance wrote in between is never
- * overwritten but taken over. Owned by one event loop, not thread-safe.
+ * <p>Invariants: at most one write is in flight; a concurrent write of another instance is never
+ * overwritten but merged into the tables. Owned by one event loop, not thread-safe.
  */
 final class RolloutWriter {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -29,7 +29,7 @@
   private final GatewayTables tables;
   private final Platform platform;
   private final Meters meters;
-  private boolean writing;
+  private boolean writeInFlight;
 
   private RolloutWriter(GatewayTables tables, Platform platform, Meters meters) {
     this.tables = tables;
@@ -37,41 +37,42 @@
     this.meters = meters;
   }
 
-  /** Returns a writer that has nothing open. */
+  /** Returns a writer without a write in flight. */
   static RolloutWriter create(GatewayTables tables, Platform platform, Meters meters) {
     return new RolloutWriter(tables, platform, meters);
   }
 
-  /** Writes a roll-out; returns the revision that it replaces, empty if that was not begun. */
+  /** Starts to write a roll-out; returns the revision to replace, empty if it was not started. */
   Optional<StoreRevision> write(String service, ServiceRollout rollout) {
     ObjectKey key = ObjectKey.valueOf(GatewayKinds.ROLLOUT, service);
     Optional<StoredObject> known = tables.join().get(key);
-    if (writing || known.isEmpty() || isOfEarlierEpoch(known.get())) {
+    if (writeInFlight || known.isEmpty() || isOfEarlierEpoch(known.get())) {
       return Optional.empty();
     }
-    writing = true;
+    writeInFlight = true;
     JsonNode value = Json.STRICT.valueToTree(rollout);
     platform
         .put(key, known.get().revision(), value)
         .subscribe()
-        .with(revision -> written(StoredObject.of(key, revision, value)), this::failed);
+        .with(
+            revision -> handleWritten(StoredObject.of(key, revision, value)), this::handleFailure);
     return Optional.of(known.get().revision());
   }
 
-  /** Returns whether the store was restored since and did not show the roll-out yet. */
+  /** Returns whether the store was restored and the roll-out was not read from it since. */
   private boolean isOfEarlierEpoch(StoredObject known) {
     return known.revision().epoch() < platform.epoch().newest();
   }
 
-  private void written(StoredObject object) {
-    writing = false;
+  private void handleWritten(StoredObject object) {
+    writeInFlight = false;
     tables.mergeAll(List.of(object));
   }
 
-  private void failed(Throwable failure) {
-    writing = false;
+  private void handleFailure(Throwable failure) {
+    writeInFlight = false;
     meters.count("retry.rollout-write");
-    logger.atWarning().log("roll-out not written: %s", failure.getMessage());
+    logger.atWarning().log("cannot write roll-out: %s", failure.getMessage());
     if (failure instanceof ConflictException conflict) {
       conflict.current().ifPresent(current -> tables.mergeAll(List.of(current)));
     }
--- a/org.oatlug/src/org/oatlug/internal/gateway/SessionVersions.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/SessionVersions.java
@@ -17,52 +17,53 @@
 import org.oatlug.internal.util.Hashes;
 
 /**
- * The version of a service on which each session was seen last.
+ * Maps each session of a service to the version that it used last.
  *
- * <p>Invariant: an entry older than the longest pause of a session is not returned; the table holds
- * a bounded number of the sessions seen last. Owned by one event loop, not thread-safe.
+ * <p>Invariants: an expired entry is not returned; the table is bounded and evicts the least
+ * recently used sessions. Owned by one event loop, not thread-safe.
  */
 final class SessionVersions {
-  /** Sessions of two minutes at the busiest instance of the design size. */
-  private static final int MAXIMUM = 20_000;
+  /** The sessions of 2 minutes at the busiest instance of the design size. */
+  private static final int MAXIMUM_SESSIONS = 20_000;
 
-  /** Answers may take long after the request that is seen here. */
-  private static final int PAUSES_KEPT = 4;
+  /** The retention in session pauses; answers may end long after their request was recorded. */
+  private static final int RETENTION_PAUSES = 4;
 
-  private final Duration kept;
-  private final Map<Long, Seen> sessions =
+  private final Duration retention;
+  private final Map<Long, Observation> sessions =
       new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Long, Seen> eldest) {
-          return size() > MAXIMUM;
+        protected boolean removeEldestEntry(Map.Entry<Long, Observation> eldest) {
+          return size() > MAXIMUM_SESSIONS;
         }
       };
 
   /**
-   * Where a session was seen last.
+   * The last request of a session.
    *
-   * @param version the version
-   * @param at when it was seen, or heard of
-   * @param here whether it was seen by this instance
+   * @param version the version that it was sent to
+   * @param at when it was sent, by the clock of this instance
+   * @param isLocal whether this instance sent it
    */
-  record Seen(String version, Instant at, boolean here) {}
+  record Observation(String version, Instant at, boolean isLocal) {}
 
-  private SessionVersions(Duration kept) {
-    this.kept = kept;
+  private SessionVersions(Duration retention) {
+    this.retention = retention;
   }
 
-  /** Returns an empty table for sessions whose requests follow each other within the pause. */
+  /** Returns an empty table for sessions with at most this pause between their requests. */
   static SessionVersions withPause(Duration pause) {
-    return new SessionVersions(pause.multipliedBy(PAUSES_KEPT));
+    return new SessionVersions(pause.multipliedBy(RETENTION_PAUSES));
   }
 
   /**
-   * Returns the number of the session of a request: the session that it names, or the last part of
-   * its prompt, which only the session's own requests share; empty if there is neither.
+   * Returns the hash that identifies the session of a request: that of the session that it names,
+   * or of the last part of its prompt, which only requests of the same session share; empty if it
+   * has neither.
    */
-  static OptionalLong sessionOf(RequestHead head) {
+  static OptionalLong sessionHash(RequestHead head) {
     if (head.session().isPresent()) {
       return OptionalLong.of(Hashes.hash64(head.session().get()));
     }
@@ -73,37 +74,39 @@
     return OptionalLong.of(parts.get(parts.size() - 1).hash());
   }
 
-  /** Notes that the session was seen on the version. */
-  void seen(long session, String version, Instant now) {
-    sessions.put(session, new Seen(version, now, true));
+  /** Records that this instance sent a request of the session to the version. */
+  void recordLocal(long session, String version, Instant now) {
+    sessions.put(session, new Observation(version, now, true));
   }
 
-  /** Notes that another instance saw the session on the version; what was seen last counts. */
-  void heard(long session, String version, Instant seenAt) {
-    Seen known = sessions.get(session);
+  /**
+   * Records that another instance sent a request of the session to the version; the latest wins.
+   */
+  void recordRemote(long session, String version, Instant seenAt) {
+    Observation known = sessions.get(session);
     if (known == null || known.at().isBefore(seenAt)) {
-      sessions.put(session, new Seen(version, seenAt, false));
+      sessions.put(session, new Observation(version, seenAt, false));
     }
   }
 
-  /** Returns the version on which the session was seen last. */
-  Optional<String> versionOf(long session, Instant now) {
-    return lastOf(session, now).map(Seen::version);
+  /** Returns the version that the session used last, empty if unknown or expired. */
+  Optional<String> lastVersion(long session, Instant now) {
+    return lastObservation(session, now).map(Observation::version);
   }
 
-  /** Returns where the session was seen last. */
-  Optional<Seen> lastOf(long session, Instant now) {
+  /** Returns the last request of the session, empty if unknown or expired. */
+  Optional<Observation> lastObservation(long session, Instant now) {
     return Optional.ofNullable(sessions.get(session))
-        .filter(seen -> !now.isAfter(seen.at().plus(kept)));
+        .filter(observation -> !now.isAfter(observation.at().plus(retention)));
   }
 
-  /** Hands on each session that is known, with where it was seen last. */
-  void forEachKnown(Instant now, BiConsumer<Long, Seen> action) {
-    Instant least = now.minus(kept);
+  /** Passes each unexpired session and its last request to the action. */
+  void forEachUnexpired(Instant now, BiConsumer<Long, Observation> action) {
+    Instant oldest = now.minus(retention);
     sessions.forEach(
-        (session, seen) -> {
-          if (!seen.at().isBefore(least)) {
-            action.accept(session, seen);
+        (session, observation) -> {
+          if (!observation.at().isBefore(oldest)) {
+            action.accept(session, observation);
           }
         });
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/VersionBasis.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/VersionBasis.java
@@ -6,15 +6,15 @@
 import java.util.OptionalLong;
 
 /**
- * What a wish for a version rests on: what was known of the request's session, and how far the
- * roll-out had come as seen here. Immutable.
+ * The inputs of a version choice: the knowledge of the request's session and the progress of the
+ * roll-out as this instance sees it. Immutable.
  *
- * @param session the number of the session, empty if the request belongs to none
+ * @param session the hash of the session, empty if the request belongs to none
  * @param knowledge how the session is known
- * @param before the version on which the session was seen last, empty if it is not known
- * @param ageMillis how long ago it was seen there, or heard of, in milliseconds
- * @param part the part of the duration that has passed
- * @param share the share of the sessions that the new version gets
+ * @param before the version that the session used last, empty if it is not known
+ * @param ageMillis the time since the session's last known request, in milliseconds
+ * @param part the fraction of the duration that has elapsed
+ * @param share the share of the sessions that the new version receives, 0 to 1
  */
 public record VersionBasis(
     OptionalLong session,
@@ -24,34 +24,34 @@
     double part,
     double share) {
 
-  /** How a session is known. */
+  /** The source of the knowledge of a session. */
   public enum Knowledge {
-    /** This instance sent a request of it. */
+    /** This instance sent a request of the session. */
     SEEN_HERE,
-    /** Another instance told of it. */
+    /** Another instance replicated the session. */
     TOLD,
-    /** Nothing is known of it. */
+    /** The session is not known. */
     UNKNOWN,
     /** The request belongs to no session. */
     NO_SESSION
   }
 
-  /** Returns whether nothing is known of a session to which the request belongs. */
+  /** Returns whether the request belongs to no session or to an unknown one. */
   boolean isUnknown() {
     return knowledge == Knowledge.UNKNOWN || knowledge == Knowledge.NO_SESSION;
   }
 
-  /** Returns this with what another basis knew of the session. */
-  VersionBasis knownAsIn(VersionBasis other) {
+  /** Returns this basis with the session knowledge of another one. */
+  VersionBasis withKnowledgeOf(VersionBasis other) {
     return new VersionBasis(session, other.knowledge, other.before, other.ageMillis, part, share);
   }
 
-  /** Returns the fields of a log line; joined and not formatted, as each attempt writes one. */
+  /** Returns log fields; concatenated, as formatting costs too much for each attempt. */
   @Override
   public String toString() {
-    String number = session.isPresent() ? Long.toHexString(session.getAsLong()) : "-";
+    String sessionText = session.isPresent() ? Long.toHexString(session.getAsLong()) : "-";
     return "session="
-        + number
+        + sessionText
         + " known="
         + knowledge
         + " before="
@@ -59,12 +59,12 @@
         + " age="
         + ageMillis
         + " part="
-        + thousandths(part)
+        + roundToThousandths(part)
         + " share="
-        + thousandths(share);
+        + roundToThousandths(share);
   }
 
-  private static double thousandths(double value) {
+  private static double roundToThousandths(double value) {
     return Math.round(value * 1000) / 1000.0;
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/VersionChoice.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/VersionChoice.java
@@ -8,45 +8,47 @@
 import org.oatlug.internal.gateway.VersionRule.Wish;
 
 /**
- * To which version a request goes while one is brought in. Pure, immutable.
+ * Chooses the version for a request during a roll-out. Pure, immutable.
  *
- * <p>Load pattern: callers move to other instances in great number, because instances are restarted
- * in turn, killed, or another zone takes over, and most of their sessions go on. Invariants: a
- * session that goes on stays at its version, but for moves to the new one in the second half; one
- * of which nothing is known goes by its share, once what was seen before the order is known.
+ * <p>Load pattern: many callers move to other instances at a time, because instances are restarted
+ * in turn or killed, or another availability zone takes over, and most of their sessions continue.
+ * Invariants: a known session stays on its version, except for moves to the new version in the
+ * second half of the duration; an unknown session is assigned by the share, once the sessions seen
+ * before the order have been replicated.
  *
- * @param target the version that is brought in
- * @param basis what is known of the session and of the roll-out
- * @param chosen whether the share of the new version takes in the session
- * @param suspicious whether the request failed at the new version and others speak against it, too
- * @param settling whether it may be unknown here that the session goes on
- * @param mayMove whether sessions that go on may move to the new version
+ * @param target the version that is rolled out
+ * @param basis the knowledge of the session and of the roll-out
+ * @param isInShare whether the share of the new version includes the session
+ * @param suspicious whether the request failed on the new version and there is other evidence
+ *     against it
+ * @param settling whether a session that continues may still be unknown to this instance
+ * @param mayMove whether known sessions may move to the new version
  */
 record VersionChoice(
     String target,
     VersionBasis basis,
-    boolean chosen,
+    boolean isInShare,
     boolean suspicious,
     boolean settling,
     boolean mayMove) {
 
-  /** Returns the wish for the request. */
-  Wish wish() {
-    return basis.isUnknown() ? ofNewSession() : ofKnownSession();
+  /** Returns the version preference for the request. */
+  Wish preference() {
+    return basis.isUnknown() ? preferenceForNewSession() : preferenceForKnownSession();
   }
 
-  private Wish ofNewSession() {
-    boolean waits = settling && basis.session().isPresent();
-    return wishOf(chosen && !suspicious && !waits, Firmness.PREFERRED);
+  private Wish preferenceForNewSession() {
+    boolean mustWait = settling && basis.session().isPresent();
+    return preferenceOf(isInShare && !suspicious && !mustWait, Firmness.PREFERRED);
   }
 
-  private Wish ofKnownSession() {
-    boolean isThere = basis.before().equals(target);
-    boolean moves = !isThere && chosen && mayMove && !suspicious;
-    return wishOf(isThere || moves, moves ? Firmness.PREFERRED : Firmness.KEPT);
+  private Wish preferenceForKnownSession() {
+    boolean isOnTarget = basis.before().equals(target);
+    boolean moves = !isOnTarget && isInShare && mayMove && !suspicious;
+    return preferenceOf(isOnTarget || moves, moves ? Firmness.PREFERRED : Firmness.KEPT);
   }
 
-  private Wish wishOf(boolean wanted, Firmness firmness) {
+  private Wish preferenceOf(boolean wanted, Firmness firmness) {
     return new Wish(target, wanted, firmness, Optional.of(basis));
   }
 }
