--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/RestoredObjectsTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/RestoredObjectsTest.java
@@ -31,7 +31,7 @@
 import org.oatlug.platform.StoreRevision;
 import org.oatlug.platform.StoredObject;
 
-/** Shows what counts of objects that were read before and after a restore of the store. */
+/** Tests which state of an object is in force after the store was restored from a copy. */
 class RestoredObjectsTest {
   private static final String SEED = "20261203";
   private static final ObjectKey ROUTING = ObjectKey.valueOf(GatewayKinds.ROUTING, "main");
@@ -39,12 +39,13 @@
   private static final ObjectKey ROLLOUT = ObjectKey.valueOf(GatewayKinds.ROLLOUT, "pool");
 
   /**
-   * A store whose reads are collected. Operators and upstreams write again after a restore; a
-   * service has one order, which may be lost and made again.
+   * Simulates a store and records the objects that are read. Operators and upstreams write their
+   * objects again after a restore; a service has one roll-out order, which may be lost and
+   * repeated.
    */
   private static final class History {
     private final Random random;
-    private final List<StoredObject> read = new ArrayList<>();
+    private final List<StoredObject> reads = new ArrayList<>();
     private Map<ObjectKey, StoredObject> stored = new TreeMap<>();
     private Map<ObjectKey, StoredObject> copy = new TreeMap<>();
     private long epoch = 1;
@@ -67,7 +68,7 @@
       number++;
       StoredObject object = StoredObject.of(key, new StoreRevision(epoch, number), value);
       stored.put(key, object);
-      read.add(object);
+      reads.add(object);
     }
 
     private void configure() {
@@ -105,24 +106,25 @@
       number = copiedNumber;
       stored = new TreeMap<>();
       for (StoredObject object : copy.values()) {
-        show(object);
+        restoreObject(object);
       }
-      // Some are read as the copy shows them, all are written again.
+      // Some objects are read as they are in the copy; these two are always written again.
       configure();
       register();
     }
 
-    private void show(StoredObject copied) throws Exception {
-      StoreRevision shownAt = new StoreRevision(epoch, copied.revision().number());
-      StoredObject shown = StoredObject.of(copied.key(), shownAt, shownValue(copied));
-      stored.put(copied.key(), shown);
+    private void restoreObject(StoredObject copied) throws Exception {
+      StoreRevision restoredRevision = new StoreRevision(epoch, copied.revision().number());
+      StoredObject restoredObject =
+          StoredObject.of(copied.key(), restoredRevision, restoredValue(copied));
+      stored.put(copied.key(), restoredObject);
       if (random.nextBoolean()) {
-        read.add(shown);
+        reads.add(restoredObject);
       }
     }
 
-    /** Returns the content; of an order the store shows at which revision it was made. */
-    private JsonNode shownValue(StoredObject copied) throws Exception {
+    /** Returns the restored content; an order carries its revision in the new epoch. */
+    private JsonNode restoredValue(StoredObject copied) throws Exception {
       if (!copied.key().equals(ROLLOUT)) {
         return copied.value();
       }
@@ -184,24 +186,24 @@
   }
 
   @Property(tries = 2000, seed = SEED)
-  void testAnyOrderAndRepetitionEndsAtTheSameState(
+  void testStateIsIndependentOfOrderAndRepetition(
       @ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int steps) throws Exception {
     History history = new History(seed);
     for (int step = 0; step < steps; step++) {
       history.step();
     }
-    List<StoredObject> disturbed = new ArrayList<>(history.read);
-    disturbed.addAll(history.read.subList(0, history.read.size() / 2));
-    Collections.shuffle(disturbed, new Random(seed));
-    // Half of them come joined by another instance.
-    int half = disturbed.size() / 2;
-    ObjectJoin other = joinOf(disturbed.subList(0, half));
-    List<StoredObject> received = new ArrayList<>(disturbed.subList(half, disturbed.size()));
-    received.addAll(other.all());
-    ObjectJoin inOrder = joinOf(history.read);
-    ObjectJoin inDisorder = joinOf(received);
-    assertEquals(List.copyOf(inDisorder.all()), List.copyOf(inOrder.all()));
-    assertEquals(inDisorder.digest(), inOrder.digest());
+    List<StoredObject> shuffled = new ArrayList<>(history.reads);
+    shuffled.addAll(history.reads.subList(0, history.reads.size() / 2));
+    Collections.shuffle(shuffled, new Random(seed));
+    // One half arrives merged by another instance.
+    int half = shuffled.size() / 2;
+    ObjectJoin remote = joinOf(shuffled.subList(0, half));
+    List<StoredObject> received = new ArrayList<>(shuffled.subList(half, shuffled.size()));
+    received.addAll(remote.all());
+    ObjectJoin joinInOrder = joinOf(history.reads);
+    ObjectJoin joinOfShuffled = joinOf(received);
+    assertEquals(List.copyOf(joinOfShuffled.all()), List.copyOf(joinInOrder.all()));
+    assertEquals(joinOfShuffled.digest(), joinInOrder.digest());
   }
 
   @Property(tries = 1000, seed = SEED)
@@ -211,19 +213,19 @@
       history.step();
     }
     ObjectJoin join = joinOf(List.of());
-    long inForce = 0;
-    for (StoredObject object : history.read) {
+    long previousVersion = 0;
+    for (StoredObject object : history.reads) {
       join.merge(object);
       long version =
           join.get(ROUTING).map(known -> known.value().path("version").asLong()).orElse(0L);
-      assertTrue(version >= inForce, "version " + version + " after " + inForce);
-      inForce = version;
+      assertTrue(version >= previousVersion, "version " + version + " after " + previousVersion);
+      previousVersion = version;
     }
-    assertEquals(inForce, history.version);
+    assertEquals(previousVersion, history.version);
   }
 
   @Property(tries = 1, seed = SEED)
-  void testEntryThatTheStoreGoesOnToShowCountsWhateverComesLate() {
+  void testEntryConfirmedByTheStoreStaysInForceAfterLateReads() {
     UpstreamRecord entry = UpstreamRecord.of("pool", "127.0.0.1", 1, "hall-a", "v1", 8, false);
     StoredObject copied =
         StoredObject.of(
@@ -241,7 +243,7 @@
 
   private static StoredObject rollout(long epoch, long number, long created, State... state) {
     Optional<ServiceRollout.Progress> progress =
-        List.of(state).stream().map(one -> progressOf(one, "v2")).findFirst();
+        List.of(state).stream().map(known -> progressOf(known, "v2")).findFirst();
     ServiceRollout rollout =
         new ServiceRollout("pool", "v2", new StoreRevision(epoch, created), 1, progress);
     StoreRevision revision = new StoreRevision(epoch, number);
@@ -255,7 +257,7 @@
   }
 
   @Property(tries = 1, seed = SEED)
-  void testOrderThatEndedStaysEndedUntilItIsMadeAnew() throws Exception {
+  void testEndedOrderStaysEndedUntilItIsOrderedAgain() throws Exception {
     ObjectJoin join = joinOf(List.of(rollout(1, 9, 3, State.ROLLED_BACK)));
     join.merge(rollout(2, 4, 3, State.RUNNING));
     assertEquals(stateIn(join), Optional.of(State.ROLLED_BACK));
@@ -269,7 +271,7 @@
   }
 
   @Property(tries = 1, seed = SEED)
-  void testOrderMadeAnewIsNotTakenForTheOneBefore() throws Exception {
+  void testRepeatedOrderDoesNotInheritProgress() throws Exception {
     ObjectJoin join = joinOf(List.of(rollout(1, 9, 3, State.ROLLED_BACK)));
     join.merge(rollout(2, 4, 3, State.RUNNING));
     join.merge(StoredObject.of(ROLLOUT, new StoreRevision(2, 8), Kinds.tombstone()));
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/package-info.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of what the package keeps to itself. */
+/** Tests of package-private classes. */
 package org.oatlug.internal.gateway;
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayParts.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayParts.java
@@ -20,30 +20,31 @@
 import org.oatlug.internal.routing.ZoneReach;
 
 /**
- * The parts of one instance that requests use. Immutable; its parts belong to one event loop.
+ * Holds the components of one instance that serve requests. Immutable; the components are owned by
+ * one event loop.
  *
- * @param vertx the runtime
+ * @param vertx the Vert.x runtime
  * @param settings the settings
  * @param clock the clock
- * @param adapter the wire forms of the deployment
- * @param client opens connections to upstreams
- * @param tables the tables
- * @param speeds how fast engines read
- * @param reading which prompts wait at upstreams
- * @param zones which availability zones are reached
+ * @param adapter the wire formats of the deployment
+ * @param client the HTTP client for upstreams
+ * @param tables the state of services, upstreams and roll-outs
+ * @param speeds the measured prefill speeds of engines
+ * @param reading the prompts that wait for prefill at upstreams
+ * @param zones the reachability of availability zones
  * @param limits the rate limits that upstreams advertise
- * @param rates the rates of all instances together at upstreams that are cold or limited
- * @param crashes keeps requests under which upstreams end from ending more
+ * @param rates limits the rate of all instances together to cold or rate-limited upstreams
+ * @param crashes isolates requests that are suspected of crashing upstreams
  * @param selection chooses upstreams
  * @param stages chooses models of cascades
- * @param versions chooses versions while a roll-out runs
+ * @param versions chooses versions during a roll-out
  * @param budgets the retry budgets
- * @param deadlines the timers of the deadlines of open requests
- * @param turns the requests that wait until they begin
- * @param spread spreads the moments at which refused callers may come back
- * @param times how long answers usually take
- * @param held the bytes of bodies that requests hold
- * @param logLimit bounds the lines about requests
+ * @param deadlines the deadline timers of open requests
+ * @param turns the queue of requests that have not started
+ * @param spread spreads the retry times of refused callers
+ * @param times the measured times of answers
+ * @param held the memory held by request bodies, in bytes
+ * @param logLimit limits the rate of log lines about requests
  * @param meters the counters
  */
 public record GatewayParts(
@@ -70,21 +71,21 @@
     HeldBytes held,
     LogLimit logLimit,
     Meters meters) {
-  /** Takes in that the process stood still, maybe for longer than its timers know. */
+  /** Handles a pause of the process, which its timers may not have counted. */
   public void stoodStill() {
     meters.count("pause");
     deadlines.setAnew();
   }
 
-  /** Returns which requests upstreams ended under, as all instances together have seen it. */
+  /** Returns the ledger of requests under which upstreams crashed, as seen by all instances. */
   public CrashLedger crashLedger() {
     return crashes.ledger();
   }
 
   /**
-   * Returns the parts of an instance, made from what they are about.
+   * Creates the components of an instance.
    *
-   * @param instances how many instances are believed to live, this one included
+   * @param instances the number of instances believed to be alive, including this one
    */
   public static GatewayParts create(
       Vertx vertx,
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayRules.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayRules.java
@@ -17,17 +17,17 @@
 import org.oatlug.platform.StoredObject;
 
 /**
- * What decides between two states of an object of routed services.
+ * Resolves which of two states of an object of routed services is in force.
  *
- * <p>The routing configuration is ordered by its own version. An upstream's entry that the same
- * start wrote later outlives a copy of the store that shows an earlier one, and so does how far a
- * roll-out came: its status is written by instances alone, and would not be written again.
- * Stateless, thread-safe.
+ * <p>The routing configuration is ordered by its own version. After the store was restored from a
+ * copy, a later entry of the same start of an upstream is retained over the earlier one in the
+ * copy, and so is the progress of a roll-out, because only instances write it and nothing else
+ * would write it again. Stateless, thread-safe.
  */
 final class GatewayRules implements ObjectRules {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** Lower than any configuration: a deleted one never replaces it. */
+  /** Lower than any version, so that a tombstone never replaces a configuration. */
   private static final long NO_CONFIGURATION = -1;
 
   private static final Comparator<EntryAge> BY_AGE =
@@ -42,14 +42,14 @@
     return new GatewayRules();
   }
 
-  /** How far an upstream has come; the later constant goes before the earlier. */
+  /** The life cycle of an upstream; a later constant takes precedence over an earlier one. */
   private enum Stage {
     SERVING,
     LEAVING,
-    GONE
+    REMOVED
   }
 
-  /** When an upstream wrote an entry, as it counts that itself. */
+  /** The order in which an upstream wrote its entries, by its own start time and sequence. */
   private record EntryAge(long startedAtMillis, long sequence, Stage stage) {}
 
   @Override
@@ -57,8 +57,8 @@
     if (!object.key().kind().equals(GatewayKinds.ROUTING)) {
       return 0;
     }
-    boolean gone = Kinds.isTombstone(object.value());
-    return gone ? NO_CONFIGURATION : object.value().path("version").asLong();
+    boolean deleted = Kinds.isTombstone(object.value());
+    return deleted ? NO_CONFIGURATION : object.value().path("version").asLong();
   }
 
   @Override
@@ -72,9 +72,9 @@
 
   private static Optional<JsonNode> retainedEntry(StoredObject earlier, StoredObject later) {
     boolean sameEpoch = earlier.revision().epoch() == later.revision().epoch();
-    boolean written = sameEpoch && !later.retained();
+    boolean writtenInSameEpoch = sameEpoch && !later.retained();
     boolean deleted = Kinds.isTombstone(later.value()) && !later.retained();
-    if (written || deleted || BY_AGE.compare(ageOf(earlier), ageOf(later)) <= 0) {
+    if (writtenInSameEpoch || deleted || BY_AGE.compare(ageOf(earlier), ageOf(later)) <= 0) {
       return Optional.empty();
     }
     return Optional.of(earlier.value());
@@ -82,11 +82,11 @@
 
   private static EntryAge ageOf(StoredObject entry) {
     JsonNode value = entry.value();
-    Stage present = value.path("leaving").asBoolean() ? Stage.LEAVING : Stage.SERVING;
+    Stage liveStage = value.path("leaving").asBoolean() ? Stage.LEAVING : Stage.SERVING;
     return new EntryAge(
         value.path("startedAtMillis").asLong(),
         value.path("sequence").asLong(),
-        Kinds.isTombstone(value) ? Stage.GONE : present);
+        Kinds.isTombstone(value) ? Stage.REMOVED : liveStage);
   }
 
   @Override
@@ -101,13 +101,15 @@
       return Optional.empty();
     }
     try {
-      ServiceRollout known = Json.STRICT.treeToValue(earlier.value(), ServiceRollout.class);
-      ServiceRollout shown = Json.STRICT.treeToValue(later.value(), ServiceRollout.class);
-      if (!known.isSameOrderAs(shown) || known.stage() <= shown.stage()) {
+      ServiceRollout earlierRollout =
+          Json.STRICT.treeToValue(earlier.value(), ServiceRollout.class);
+      ServiceRollout laterRollout = Json.STRICT.treeToValue(later.value(), ServiceRollout.class);
+      if (!earlierRollout.isSameOrderAs(laterRollout)
+          || earlierRollout.stage() <= laterRollout.stage()) {
         return Optional.empty();
       }
-      ServiceRollout.Progress reached = known.progress().orElseThrow();
-      return Optional.of(Json.STRICT.valueToTree(shown.withProgress(reached)));
+      ServiceRollout.Progress reachedProgress = earlierRollout.progress().orElseThrow();
+      return Optional.of(Json.STRICT.valueToTree(laterRollout.withProgress(reachedProgress)));
     } catch (JsonProcessingException e) {
       logger.atWarning().log(
           "%s revision=%s cannot be compared: %s",
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatheredKnowledge.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatheredKnowledge.java
@@ -13,13 +13,13 @@
 import org.oatlug.internal.gather.SeenSession;
 
 /**
- * What the gateway tells the other instances and learns from them: open prompts, reading speeds,
- * versions that are brought in and rate limits of upstreams. Owned by one event loop, not
+ * Exchanges the gateway's state with other instances: prompts waiting for prefill, prefill speeds,
+ * evidence about versions under roll-out and rate limits of upstreams. Owned by one event loop, not
  * thread-safe.
  */
 public final class GatheredKnowledge implements Participant {
-  /** How often speeds are told: they change with each answer, and a second's age is no harm. */
-  private static final Duration SPEEDS_PAUSE = Duration.ofSeconds(1);
+  /** The interval at which speeds are sent; they change with each answer but may be 1 s old. */
+  private static final Duration SPEEDS_INTERVAL = Duration.ofSeconds(1);
 
   private final GatewayParts parts;
   private final RolloutDirector rollouts;
@@ -31,7 +31,7 @@
     this.rollouts = rollouts;
   }
 
-  /** Returns the knowledge of these parts. */
+  /** Returns the participant that exchanges the state of these parts. */
   public static GatheredKnowledge of(GatewayParts parts, RolloutDirector rollouts) {
     return new GatheredKnowledge(parts, rollouts);
   }
@@ -39,7 +39,7 @@
   @Override
   public Account own() {
     Instant now = parts.clock().instant();
-    if (!now.isBefore(speedsAt.plus(SPEEDS_PAUSE))) {
+    if (!now.isBefore(speedsAt.plus(SPEEDS_INTERVAL))) {
       speeds = parts.speeds().measured();
       speedsAt = now;
     }
@@ -63,11 +63,11 @@
   }
 
   @Override
-  public void heard(Account others) {
-    parts.reading().heard(others.openMillis(), parts.clock().instant());
-    others.speeds().forEach(parts.speeds()::heard);
-    others.evidence().forEach(rollouts::heard);
-    parts.limits().applyReported(others.limits());
+  public void heard(Account remote) {
+    parts.reading().heard(remote.openMillis(), parts.clock().instant());
+    remote.speeds().forEach(parts.speeds()::heard);
+    remote.evidence().forEach(rollouts::heard);
+    parts.limits().applyReported(remote.limits());
   }
 
   @Override
--- a/org.oatlug/src/org/oatlug/internal/gateway/InspectionServer.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/InspectionServer.java
@@ -23,17 +23,17 @@
 import org.oatlug.internal.util.Json;
 
 /**
- * Answers the balancer whether the instance is ready, shows its counters to whoever collects them,
- * and explains its decisions to operators. Used from one event loop.
+ * Serves the readiness check of the load balancer, metrics for scraping, and status and
+ * explanations for operators. Used from one event loop.
  */
 public final class InspectionServer {
-  /** The path that explains what becomes of a request. */
+  /** The path that explains how a request would be routed. */
   static final String EXPLAIN_PATH = "/explain";
 
-  /** The path that shows what the instance knows. */
+  /** The path that shows the status of the instance. */
   static final String STATUS_PATH = "/status";
 
-  /** The path that lets a request run again that is refused because upstreams ended under it. */
+  /** The path that lifts the refusal of a request under which upstreams crashed. */
   static final String LET_RUN_PATH = "/let-run";
 
   private static final int OK = 200;
@@ -57,7 +57,7 @@
     return server;
   }
 
-  /** Starts to answer whether the instance is ready, on any path. */
+  /** Starts to serve the readiness check, on any path. */
   public Future<HttpServer> listenForReadiness(Endpoint endpoint) {
     return vertx
         .createHttpServer()
@@ -66,12 +66,12 @@
   }
 
   /**
-   * Starts to show the counters, in the text form of Prometheus, on any path but {@value
-   * #EXPLAIN_PATH}, which explains what becomes of a request, {@value #STATUS_PATH}, which shows
-   * the upstreams, the emptied zones and what is held against requests, and {@value #LET_RUN_PATH},
-   * which forgets that for one of them.
+   * Starts to serve the metrics, in the text format of Prometheus, on any path but {@value
+   * #EXPLAIN_PATH}, which explains how a request would be routed, {@value #STATUS_PATH}, which
+   * shows the upstreams, the evacuated availability zones and the suspected requests, and {@value
+   * #LET_RUN_PATH}, which clears one suspected request.
    *
-   * @param parts the parts whose decisions are explained
+   * @param parts the components whose decisions are explained
    */
   public Future<HttpServer> listenForOperators(String host, int port, GatewayParts parts) {
     return vertx
@@ -90,7 +90,7 @@
     }
   }
 
-  /** Forgets what is held against a request; asked with PUT, so that nobody does it by looking. */
+  /** Clears a suspected request; only by PUT, so that a mere GET has no effect. */
   private static void letRun(HttpServerRequest request, GatewayParts parts) {
     boolean forgotten =
         request.method().equals(HttpMethod.PUT) && parts.crashes().forget(text(request, "request"));
@@ -110,12 +110,12 @@
         RouteExplanation.of(parts, text(request, "host"), text(request, "path"), generation));
   }
 
-  private static void answer(HttpServerRequest request, Optional<?> found) {
+  private static void answer(HttpServerRequest request, Optional<?> body) {
     request
         .response()
-        .setStatusCode(found.isPresent() ? OK : NOT_FOUND)
+        .setStatusCode(body.isPresent() ? OK : NOT_FOUND)
         .putHeader("Content-Type", "application/json")
-        .end(found.map(one -> Json.STRICT.valueToTree(one).toString()).orElse("{}"));
+        .end(body.map(content -> Json.STRICT.valueToTree(content).toString()).orElse("{}"));
   }
 
   private static String text(HttpServerRequest request, String name) {
@@ -123,15 +123,18 @@
     return value == null ? "" : value;
   }
 
-  /** Returns a number of the query; 0 for what is none or too long for an {@code int}. */
+  /** Returns a number of the query, 0 if it is missing, malformed or longer than 9 digits. */
   private static int number(HttpServerRequest request, String name) {
     String value = text(request, name);
     return value.matches("\\d{1,9}") ? Integer.parseInt(value) : 0;
   }
 
   private void answerReady(HttpServerRequest request) {
-    boolean now = ready.getAsBoolean();
-    request.response().setStatusCode(now ? OK : UNAVAILABLE).end(now ? "ready" : "not ready");
+    boolean isReady = ready.getAsBoolean();
+    request
+        .response()
+        .setStatusCode(isReady ? OK : UNAVAILABLE)
+        .end(isReady ? "ready" : "not ready");
   }
 
   private void showMetrics(HttpServerRequest request) {
--- a/org.oatlug/src/org/oatlug/internal/gateway/InstanceStatus.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/InstanceStatus.java
@@ -12,14 +12,15 @@
 import org.oatlug.internal.table.UpstreamRow;
 
 /**
- * What an instance knows now, for an operator. Immutable.
+ * The current state of an instance, for operators. Immutable.
  *
  * @param name the name of the instance
- * @param ready whether it tells the balancer that it is ready
- * @param store what is known of the store's restores
- * @param emptiedZones the availability zones whose upstreams get nothing
- * @param rollouts how far the roll-outs have come that run
- * @param heldRequests the requests that run alone or not at all, because upstreams ended under them
+ * @param ready whether it reports itself as ready to the load balancer
+ * @param store the epoch of the store and the effects of restores
+ * @param emptiedZones the evacuated availability zones, whose upstreams receive no requests
+ * @param rollouts the progress of the running roll-outs
+ * @param heldRequests the requests that run isolated or are refused, because upstreams crashed
+ *     under them
  * @param upstreams the upstreams, ordered by name
  */
 public record InstanceStatus(
@@ -31,27 +32,27 @@
     List<CrashLedger.Listed> heldRequests,
     List<Upstream> upstreams) {
   /**
-   * What is known of the store's restores.
+   * The epoch of the store and the effects of restores.
    *
-   * @param epoch the epoch that the newest object is of, 0 if the store names none
-   * @param sinceMillis for how long that epoch has been known, in milliseconds
-   * @param retained the objects whose content counts although the store shows an older one
-   * @param awaited how many objects are known of earlier epochs and were not shown since
+   * @param epoch the epoch of the newest object, 0 if the store has no epochs
+   * @param sinceMillis the time since this instance first saw that epoch, in milliseconds
+   * @param retained the objects whose content stays in force although the store holds an older one
+   * @param awaited the number of objects of earlier epochs that were not read since
    */
   public record Store(long epoch, long sinceMillis, List<String> retained, long awaited) {}
 
   /**
-   * An upstream.
+   * The state of an upstream.
    *
    * @param name its name
    * @param service its service
    * @param zone its availability zone
-   * @param leaving whether it is about to go
-   * @param cold whether it bears few requests now
-   * @param limit what it advertises of its rate limit, empty if it advertises none
-   * @param restsMillis for how much longer it wants nothing, in milliseconds
-   * @param keptOut whether it is kept out after failures
-   * @param expectedLoad the requests that it is believed to have
+   * @param leaving whether it has announced that it leaves
+   * @param cold whether it is cold and limited to few requests
+   * @param limit the rate limit that it advertises, empty for none
+   * @param restsMillis the remaining back-off that it asked for, in milliseconds
+   * @param keptOut whether it is ejected after failures
+   * @param expectedLoad the estimated number of its open requests
    */
   public record Upstream(
       String name,
@@ -64,7 +65,7 @@
       boolean keptOut,
       int expectedLoad) {}
 
-  /** Returns the status of the instance that has these parts. */
+  /** Returns the status of the instance with these components. */
   static InstanceStatus of(GatewayParts parts, boolean ready) {
     GatewayTables tables = parts.tables();
     List<Upstream> upstreams =
--- a/org.oatlug/src/org/oatlug/internal/gateway/KeyIndex.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/KeyIndex.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import org.oatlug.gateway.WorkspaceKeys;
 
-/** Finds the workspace of a caller's key. Immutable, thread-safe. */
+/** Maps caller keys to their workspaces. Immutable, thread-safe. */
 public final class KeyIndex {
   private final boolean required;
   private final Map<String, WorkspaceKeys> byKey;
@@ -19,7 +19,7 @@
     this.byKey = byKey;
   }
 
-  /** Returns an index for a deployment that asks for no keys. */
+  /** Returns an index for a deployment that requires no keys. */
   static KeyIndex open() {
     return new KeyIndex(false, Map.of());
   }
@@ -38,7 +38,7 @@
     return required;
   }
 
-  /** Returns the workspace that holds the key. */
+  /** Returns the workspace of the key, empty if the key is unknown. */
   public Optional<WorkspaceKeys> find(String key) {
     return Optional.ofNullable(byKey.get(key));
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/RouteExplanation.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RouteExplanation.java
@@ -18,33 +18,33 @@
 import org.oatlug.internal.engine.HeadForecast;
 
 /**
- * What an instance would do with a request now, and why. Immutable.
+ * Explains how an instance would route a request now, and why. Immutable.
  *
- * <p>The decisions themselves are asked, as for a request that has just come: what changes them
- * while it is served (its wait, upstreams that were tried, the retry budget) is left out.
+ * <p>It evaluates the real decisions for a request that has just arrived; state that changes them
+ * while a request is served (its queueing time, the upstreams tried, the retry budget) is left out.
  *
- * @param route the route that the request takes
- * @param kind how often it may run
+ * @param route the route that matches the request
+ * @param kind the execution guarantee of the route
  * @param targets the services of the route
  */
 public record RouteExplanation(String route, RouteKind kind, List<Target> targets) {
-  /** The highest confidence that a model states, in hundredths. */
-  private static final int MOST_CONFIDENCE = 100;
+  /** The highest confidence that a model states, in percent. */
+  private static final int MAXIMUM_CONFIDENCE = 100;
 
-  /** The size of the request that is made up. */
-  private static final int NO_BODY = 0;
+  /** The body size of the synthetic request, in bytes. */
+  private static final int EMPTY_BODY_BYTES = 0;
 
-  /** The id of the request that is made up to ask the decisions. */
+  /** The id of the synthetic request for which the decisions are evaluated. */
   private static final String REQUEST_ID = "explain";
 
   /**
-   * A service of the route.
+   * A target service of the route.
    *
    * @param service its name
-   * @param weight its share, relative to the others
-   * @param versions which versions may answer while a roll-out runs, empty for any
-   * @param stages the models of the cascade, the smallest first
-   * @param upstreams the upstreams, the cheapest first
+   * @param weight its weight relative to the other targets
+   * @param versions the version preference during a roll-out, empty if any version may answer
+   * @param stages the models of the cascade, smallest first
+   * @param upstreams the upstreams, lowest cost first
    */
   public record Target(
       String service,
@@ -57,19 +57,21 @@
    * A model of a cascade.
    *
    * @param model its name
-   * @param leastConfidence the lowest confidence with which its answer is taken now
+   * @param leastConfidence the lowest confidence at which its answer is accepted now
    */
   public record Stage(String model, int leastConfidence) {}
 
   /**
-   * An upstream.
+   * A candidate upstream.
    *
    * @param name its name
    * @param zone its availability zone
    * @param version its version
-   * @param load the requests that it is believed to have
-   * @param costMillis what it costs to choose it, the lowest is taken; empty if it is out
-   * @param out why it gets nothing now, empty if it may, or only its version may not answer
+   * @param load the estimated number of its open requests
+   * @param costMillis the cost of choosing it, in milliseconds; the lowest is chosen, empty if it
+   *     is excluded
+   * @param out the reason for which it is excluded, empty if it is available or only its version is
+   *     excluded
    */
   public record Candidate(
       String name,
@@ -80,12 +82,12 @@
       Optional<String> out) {}
 
   /**
-   * Explains a request that has just come and names no session; empty if no route takes it.
+   * Explains a request that has just arrived without a session; empty if no route matches.
    *
-   * @param parts the parts whose decisions are asked
-   * @param host the host that the caller names
-   * @param path the path
-   * @param generation what the request says of its prompt
+   * @param parts the components whose decisions are evaluated
+   * @param host the requested host
+   * @param path the requested path
+   * @param generation the generation parameters of the request
    */
   public static Optional<RouteExplanation> of(
       GatewayParts parts, String host, String path, Generation generation) {
@@ -117,7 +119,7 @@
   private static Target explain(
       GatewayParts parts, Route route, Route.WeightedTarget target, RequestHead head) {
     String service = target.service();
-    Optional<VersionRule.Wish> wish =
+    Optional<VersionRule.Wish> preference =
         parts.versions().wishFor(service, head, VersionRule.Tried.NOTHING);
     Optional<String> firstModel =
         route.isCascade()
@@ -125,24 +127,28 @@
             : Optional.empty();
     UpstreamSelection.Wanted wanted =
         new UpstreamSelection.Wanted(
-            service, wish, firstModel, head.generation(), NO_BODY, Set.of(), false);
+            service, preference, firstModel, head.generation(), EMPTY_BODY_BYTES, Set.of(), false);
     return new Target(
-        service, target.weight(), wish, stages(parts, route, wanted), candidates(parts, wanted));
+        service,
+        target.weight(),
+        preference,
+        stages(parts, route, wanted),
+        candidates(parts, wanted));
   }
 
   private static List<Stage> stages(
       GatewayParts parts, Route route, UpstreamSelection.Wanted wanted) {
     List<Stage> stages = new ArrayList<>();
     for (int stage = 0; stage < route.models().size(); stage++) {
-      int least = leastConfidence(parts, route, wanted, stage);
-      stages.add(new Stage(route.models().get(stage), least));
+      int confidence = minimumConfidence(parts, route, wanted, stage);
+      stages.add(new Stage(route.models().get(stage), confidence));
     }
     return stages;
   }
 
-  private static int leastConfidence(
+  private static int minimumConfidence(
       GatewayParts parts, Route route, UpstreamSelection.Wanted wanted, int stage) {
-    for (int confidence = 0; confidence < MOST_CONFIDENCE; confidence++) {
+    for (int confidence = 0; confidence < MAXIMUM_CONFIDENCE; confidence++) {
       StageRule.Poor answer =
           new StageRule.Poor(
               route,
@@ -156,7 +162,7 @@
         return confidence;
       }
     }
-    return MOST_CONFIDENCE;
+    return MAXIMUM_CONFIDENCE;
   }
 
   private static HeadForecast forecast(
@@ -175,15 +181,17 @@
       UpstreamRecord upstream = parts.tables().upstream(name).orElseThrow();
       Optional<Long> cost =
           costs.stream()
-              .filter(one -> one.name().equals(name))
-              .map(one -> Math.round(one.costMillis()))
+              .filter(chosen -> chosen.name().equals(name))
+              .map(chosen -> Math.round(chosen.costMillis()))
               .findFirst();
       int load = parts.tables().row(name).expectedLoad();
-      Optional<String> out =
+      Optional<String> exclusionReason =
           parts.selection().standing().outOf(name, parts.clock().instant()).map(Enum::name);
-      candidates.add(new Candidate(name, upstream.zone(), upstream.version(), load, cost, out));
+      candidates.add(
+          new Candidate(name, upstream.zone(), upstream.version(), load, cost, exclusionReason));
     }
-    candidates.sort(Comparator.comparingLong(one -> one.costMillis().orElse(Long.MAX_VALUE)));
+    candidates.sort(
+        Comparator.comparingLong(candidate -> candidate.costMillis().orElse(Long.MAX_VALUE)));
     return candidates;
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/RouteIndex.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RouteIndex.java
@@ -41,7 +41,7 @@
     return new RouteIndex(byHost);
   }
 
-  /** Returns the route with the longest prefix that begins the path. */
+  /** Returns the route of the host with the longest prefix of the path, empty if none matches. */
   public Optional<Route> find(String host, String path) {
     for (Route route : byHost.getOrDefault(lowerCase(host), List.of())) {
       if (path.startsWith(route.pathPrefix())) {
--- a/org.oatlug/src/org/oatlug/internal/gateway/StageRule.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/StageRule.java
@@ -11,25 +11,27 @@
 import org.oatlug.internal.engine.HeadForecast;
 
 /**
- * Which model of a cascade answers first, and which one is asked instead when an answer seems poor.
+ * Decides which model of a cascade answers first, and which one replaces an answer of low
+ * confidence.
  *
- * <p>Implementations belong to one event loop.
+ * <p>Implementations are owned by one event loop.
  */
 interface StageRule {
 
-  /** Returns the stage that a request of the route begins with; 0 is the smallest model. */
+  /** Returns the first stage for requests of the route; 0 is the smallest model. */
   int first(Route route);
 
   /**
-   * An answer that may be dropped.
+   * An answer that may be discarded in favour of a later stage.
    *
    * @param route the route
-   * @param service the service that answers
-   * @param generation what the request says of itself
-   * @param stage the stage that answers
-   * @param confidence the model's opinion of its answer, 0 to 100
-   * @param elapsed how long the caller has waited
-   * @param expected what is expected of another model where it would be asked
+   * @param service the service that answered
+   * @param generation the generation parameters that the request states
+   * @param stage the stage that answered
+   * @param confidence the confidence that the model states for its answer, 0 to 100
+   * @param elapsed the time since the request arrived
+   * @param expected the forecast of the time to the head for a model, at the upstream that would be
+   *     chosen
    */
   record Poor(
       Route route,
@@ -40,6 +42,6 @@
       Duration elapsed,
       Function<String, HeadForecast> expected) {}
 
-  /** Returns the stage to ask instead of taking the answer, empty to take it. */
+  /** Returns the stage that is to replace the answer, empty to accept the answer. */
   OptionalInt insteadOf(Poor answer);
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/VersionRule.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/VersionRule.java
@@ -9,45 +9,45 @@
 import org.oatlug.gateway.RequestHead;
 import org.oatlug.gateway.Route;
 
-/** Which versions of a service may answer a request while a roll-out runs. */
+/** Decides which versions of a service may answer a request during a roll-out. */
 public interface VersionRule {
 
-  /** What becomes of a wish that no upstream meets now. */
+  /** The behaviour if no available upstream satisfies a preference. */
   enum Firmness {
-    /** Any version answers. */
+    /** Any version may answer instead. */
     PREFERRED,
     /**
-     * Another version answers only once none of this one is left: a session keeps its version, and
-     * a refusal now costs it less than another version in the middle.
+     * Another version answers only if no upstream of this version is left. A session keeps its
+     * version, as a refusal costs it less than a change of version midway.
      */
     KEPT,
-    /** No other version answers. */
+    /** No other version may answer. */
     REQUIRED
   }
 
   /**
-   * A wish for versions.
+   * A preference for or against a version.
    *
-   * @param version the version that is spoken of
-   * @param wanted whether it has to answer, or any other one
-   * @param firmness what becomes of it if no upstream meets it
-   * @param basis what it rests on, empty once the roll-out has ended
+   * @param version the version concerned
+   * @param wanted whether this version is to answer; otherwise any other version is
+   * @param firmness the behaviour if no available upstream satisfies the preference
+   * @param basis the inputs of the choice, empty once the roll-out has ended
    */
   record Wish(String version, boolean wanted, Firmness firmness, Optional<VersionBasis> basis) {
-    /** Returns whether the version may answer. */
-    public boolean isMetBy(String other) {
-      return version.equals(other) == wanted;
+    /** Returns whether the version satisfies the preference. */
+    public boolean isMetBy(String answeringVersion) {
+      return version.equals(answeringVersion) == wanted;
     }
   }
 
   /**
-   * What a request has been through.
+   * The earlier attempts of a request.
    *
-   * @param failedVersion the version that failed it just before, empty for none
-   * @param basis what its first wish rested on, empty for none
+   * @param failedVersion the version on which the previous attempt failed, empty for none
+   * @param basis the inputs of the request's first version choice, empty for none
    */
   record Tried(Optional<String> failedVersion, Optional<VersionBasis> basis) {
-    /** Nothing yet. */
+    /** No earlier attempt. */
     public static final Tried NOTHING = new Tried(Optional.empty(), Optional.empty());
   }
 
@@ -58,39 +58,39 @@
    * @param version the version that answered
    * @param route the route
    * @param model the model, empty for none
-   * @param failed whether it was a failure
+   * @param failed whether the request failed
    * @param took the time to the head of the answer
    */
   record Answer(
       String service, String version, Route route, String model, boolean failed, Duration took) {}
 
   /**
-   * Returns the wish for a request, empty if any version may answer.
+   * Returns the version preference for a request, empty if any version may answer.
    *
-   * @param tried what the request has been through
+   * @param tried the earlier attempts of the request
    */
   Optional<Wish> wishFor(String service, RequestHead head, Tried tried);
 
-  /** Takes in that a request was sent to a version. */
+  /** Records that a request was sent to a version. */
   void sent(String service, String version, RequestHead head);
 
-  /** Takes in an answer. */
+  /** Records an answer. */
   void answered(Answer answer);
 
   /**
-   * How fast a version makes the events of a stream.
+   * The pace at which a version generates the events of a stream.
    *
    * @param service the service
    * @param version the version that answers
    * @param route the route
    * @param model the model, empty for none
-   * @param millisPerEvent the mean time between events
+   * @param millisPerEvent the mean time between events, in milliseconds
    */
   record Pace(String service, String version, Route route, String model, double millisPerEvent) {}
 
-  /** Takes in how fast a stream goes. */
+  /** Records the pace of a stream. */
   void paced(Pace pace);
 
-  /** Returns how far the roll-outs have come that run, as seen here. */
+  /** Returns the progress of the running roll-outs as this instance sees it. */
   List<RolloutStatus> status();
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/package-info.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/package-info.java
@@ -1,2 +1,2 @@
-/** Routed services: tables, decisions and the way of a request through one instance. */
+/** Routed services: state tables, routing decisions and request handling in one instance. */
 package org.oatlug.internal.gateway;
