--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayTables.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayTables.java
@@ -56,7 +56,7 @@
   private final Map<String, ServiceDefinition> services = new HashMap<>();
   private Optional<RoutingConfiguration> configuration = Optional.empty();
   private RouteIndex routes = RouteIndex.empty();
-  private KeyIndex keys = KeyIndex.open();
+  private KeyIndex keys = KeyIndex.notRequired();
   private long epoch = StoreEpoch.UNNAMED;
   private Instant epochSince;
 
@@ -146,7 +146,7 @@
         Json.STRICT.treeToValue(object.value(), RoutingConfiguration.class);
     configuration = Optional.of(parsed);
     routes = RouteIndex.of(parsed.routes());
-    keys = parsed.workspaces().map(KeyIndex::of).orElse(KeyIndex.open());
+    keys = parsed.workspaces().map(KeyIndex::of).orElse(KeyIndex.notRequired());
     services.clear();
     parsed.services().forEach(service -> services.put(service.name(), service));
     logger.atInfo().log(
--- a/org.oatlug/src/org/oatlug/internal/gateway/KeyIndex.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/KeyIndex.java
@@ -20,7 +20,7 @@
   }
 
   /** Returns an index for a deployment that requires no keys. */
-  static KeyIndex open() {
+  static KeyIndex notRequired() {
     return new KeyIndex(false, Map.of());
   }
 
--- a/org.oatlug/src/org/oatlug/internal/gateway/RolloutDirector.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RolloutDirector.java
@@ -118,9 +118,9 @@
 
   private Wish preferenceWhileRunning(
       String service, ServiceRollout rollout, RolloutTrial trial, RequestHead head, Tried tried) {
-    VersionBasis now = basisOf(service, rollout, trial, head);
+    VersionBasis current = basisOf(service, rollout, trial, head);
     // An earlier attempt of this request records its session, which does not make it a known one.
-    VersionBasis basis = tried.basis().map(now::withKnowledgeOf).orElse(now);
+    VersionBasis basis = tried.basis().map(current::withKnowledgeOf).orElse(current);
     String target = rollout.targetVersion();
     boolean failedOnTarget = tried.failedVersion().equals(Optional.of(target));
     return new VersionChoice(
@@ -142,14 +142,14 @@
       return new VersionBasis(session, Knowledge.NO_SESSION, "", 0, elapsedFraction, share);
     }
     Instant now = clock.instant();
-    Optional<SessionVersions.Observation> seen =
+    Optional<SessionVersions.Observation> last =
         sessions.of(service).lastObservation(session.getAsLong(), now);
-    if (seen.isEmpty()) {
+    if (last.isEmpty()) {
       return new VersionBasis(session, Knowledge.UNKNOWN, "", 0, elapsedFraction, share);
     }
-    Knowledge knowledge = seen.get().isLocal() ? Knowledge.SEEN_HERE : Knowledge.TOLD;
-    long age = Duration.between(seen.get().at(), now).toMillis();
-    return new VersionBasis(session, knowledge, seen.get().version(), age, elapsedFraction, share);
+    Knowledge knowledge = last.get().isLocal() ? Knowledge.SEEN_HERE : Knowledge.TOLD;
+    long age = Duration.between(last.get().at(), now).toMillis();
+    return new VersionBasis(session, knowledge, last.get().version(), age, elapsedFraction, share);
   }
 
   private static double hashFraction(long number) {
@@ -174,11 +174,11 @@
 
   private void recordSession(String service, String version, long session) {
     Instant now = clock.instant();
-    SessionVersions seen = sessions.of(service);
+    SessionVersions serviceSessions = sessions.of(service);
     tables
         .rollout(service)
         .filter(ServiceRollout::runs)
-        .flatMap(rollout -> seen.lastObservation(session, now))
+        .flatMap(rollout -> serviceSessions.lastObservation(session, now))
         .filter(previous -> !previous.version().equals(version))
         .ifPresent(previous -> countMove(service, version));
     sessions.recordLocal(service, session, version, now);
@@ -254,11 +254,11 @@
 
   /** Returns the evidence of this instance about versions under roll-out. */
   public List<VersionEvidence> evidence() {
-    List<VersionEvidence> seen = new ArrayList<>();
+    List<VersionEvidence> evidence = new ArrayList<>();
     for (String service : tables.servicesWithRollout()) {
-      runningTrial(service).ifPresent(trial -> seen.add(evidenceOf(service, trial)));
+      runningTrial(service).ifPresent(trial -> evidence.add(evidenceOf(service, trial)));
     }
-    return seen;
+    return evidence;
   }
 
   private VersionEvidence evidenceOf(String service, RolloutTrial trial) {
@@ -309,7 +309,7 @@
 
   /** Returns all unexpired sessions to replicate, including those of other instances. */
   public List<SeenSession> allSeen() {
-    return sessions.matching(clock.instant(), seen -> true);
+    return sessions.matching(clock.instant(), observation -> true);
   }
 
   private boolean movesImmediately(long session) {
--- a/org.oatlug/src/org/oatlug/internal/gateway/VersionBasis.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/VersionBasis.java
@@ -46,7 +46,7 @@
     return new VersionBasis(session, other.knowledge, other.before, other.ageMillis, part, share);
   }
 
-  /** Returns log fields; concatenated, as formatting costs too much for each attempt. */
+  /** Returns log fields; concatenated and not formatted, because every attempt logs them. */
   @Override
   public String toString() {
     String sessionText = session.isPresent() ? Long.toHexString(session.getAsLong()) : "-";
