--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayDecisionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayDecisionTest.java
@@ -310,7 +310,7 @@
     upstream("i-1", "here", "v1", false);
     upstream("i-2", "here", "v1", false);
     Generation text = generation(50_000, 10, 7, 8);
-    UpstreamSelection.rememberPrompt(tables.loads().row("i-2"), "m", generation(1, 1, 7));
+    UpstreamSelection.recordPrompt(tables.loads().row("i-2"), "m", generation(1, 1, 7));
     UpstreamSelection selection = selection();
     UpstreamSelection.Wanted wanted =
         new UpstreamSelection.Wanted(
@@ -460,9 +460,9 @@
     assertEquals(instead(times, 0, 10, 100), OptionalInt.of(2));
     assertEquals(instead(times, 0, 90, 100), OptionalInt.empty());
     assertEquals(instead(times, 2, 10, 100), OptionalInt.empty());
-    AnswerTimes.Kind slow = new AnswerTimes.Kind(route("a", "/x/"), "large", EXPECTED);
+    AnswerTimes.Key slow = new AnswerTimes.Key(route("a", "/x/"), "large", EXPECTED);
     for (int answer = 0; answer < 200; answer++) {
-      times.headTook(slow, Duration.ofMillis(5000));
+      times.recordHeadTime(slow, Duration.ofMillis(5000));
     }
     assertEquals(instead(times, 0, 45, 100), OptionalInt.empty(), "a late answer is worth less");
   }
@@ -471,15 +471,15 @@
   public void testPatienceGrowsWithThePromptAndWithSlowAnswers() {
     AnswerTimes times = AnswerTimes.create(clock);
     Route route = route("a", "/x/");
-    AnswerTimes.Kind small = new AnswerTimes.Kind(route, "large", Duration.ofMillis(200));
-    AnswerTimes.Kind large = new AnswerTimes.Kind(route, "large", Duration.ofSeconds(30));
-    assertEquals(times.headPatience(small), Duration.ofMillis(2500));
+    AnswerTimes.Key small = new AnswerTimes.Key(route, "large", Duration.ofMillis(200));
+    AnswerTimes.Key large = new AnswerTimes.Key(route, "large", Duration.ofSeconds(30));
+    assertEquals(times.headTimeout(small), Duration.ofMillis(2500));
     for (int answer = 0; answer < 100; answer++) {
-      times.headTook(small, Duration.ofMillis(300));
+      times.recordHeadTime(small, Duration.ofMillis(300));
     }
-    assertTrue(times.headPatience(large).compareTo(Duration.ofSeconds(25)) > 0);
-    assertTrue(times.chanceOfHeadWithin(small, Duration.ofMillis(1500)) > 0.9);
-    assertTrue(times.chanceOfHeadWithin(large, Duration.ofMillis(1500)) < 0.1);
+    assertTrue(times.headTimeout(large).compareTo(Duration.ofSeconds(25)) > 0);
+    assertTrue(times.probabilityOfHeadWithin(small, Duration.ofMillis(1500)) > 0.9);
+    assertTrue(times.probabilityOfHeadWithin(large, Duration.ofMillis(1500)) < 0.1);
   }
 
   @Test
--- a/org.oatlug/src/org/oatlug/internal/gateway/AnswerTimes.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/AnswerTimes.java
@@ -11,70 +11,70 @@
 import org.oatlug.gateway.Route;
 
 /**
- * How long answers usually take to begin and pause, and from when on silence means that the
- * upstream is lost.
+ * Estimates the time until responses begin and the pauses within them, and derives the timeouts
+ * after which an upstream counts as lost.
  *
- * <p>The time to the head of a generated answer is forecast; measured is by how much it comes
- * later. The bounds follow the measured times, so that a pool that is slow as a whole is not asked
- * everything twice. Owned by one event loop, not thread-safe.
+ * <p>The time to the head of a generated response is forecast, and the measurement is its delay
+ * beyond the forecast. The timeouts follow the measured times, so that requests to a pool that is
+ * slow as a whole are not all sent twice. Owned by one event loop, not thread-safe.
  */
 final class AnswerTimes {
-  /** The weight of one measurement in the running means. */
+  /** Weight of one measurement in the exponential moving averages. */
   private static final double SMOOTHING = 0.05;
 
-  /** Mean deviations above the mean from which on an answer counts as lost. */
-  private static final double DEVIATIONS = 6;
+  /** Number of mean deviations above the mean after which a response counts as lost. */
+  private static final double TIMEOUT_DEVIATIONS = 6;
 
   /**
-   * The least patience for the head of an answer, as a share of the route's goal. Less than the
-   * whole goal asks sound upstreams twice.
+   * Minimum timeout for the response head, relative to the route's goal. A timeout below the goal
+   * would repeat requests to healthy upstreams.
    */
-  private static final double LEAST_SHARE_OF_GOAL = 1.25;
+  private static final double MINIMUM_SHARE_OF_GOAL = 1.25;
 
-  /** The least patience between events, as a share of the route's longest good pause. */
-  private static final double LEAST_SHARE_OF_PAUSE = 1.25;
+  /** Minimum timeout between events, relative to the route's goal for pauses. */
+  private static final double MINIMUM_SHARE_OF_PAUSE_GOAL = 1.25;
 
-  /** The least patience between events of a route without a goal for pauses, in milliseconds. */
-  private static final double LEAST_PAUSE_MILLIS = 1500;
+  /** Minimum timeout between events of a route without a goal for pauses, in milliseconds. */
+  private static final double MINIMUM_PAUSE_TIMEOUT_MILLIS = 1500;
 
-  /** The longest patience, in multiples of the larger of the least one and the mean. */
-  private static final double LONGEST = 4;
+  /** Maximum timeout as a multiple of the larger of the minimum timeout and the mean. */
+  private static final double MAXIMUM_TIMEOUT_FACTOR = 4;
 
-  /** After this time without a measurement its mean begins to fade, in milliseconds. */
-  private static final double FADES_AFTER_MILLIS = 2000;
+  /** Time without a measurement after which the mean decays, and its time constant, in ms. */
+  private static final double DECAY_MILLIS = 2000;
 
-  /** The scale of a logistic distribution for a mean absolute deviation of one. */
-  private static final double SCALE_OF_DEVIATION = 0.72;
+  /** Scale of a logistic distribution whose mean absolute deviation is 1. */
+  private static final double LOGISTIC_SCALE = 0.72;
 
   private final InstantSource clock;
   private final Map<String, Estimate> delays = new HashMap<>();
   private final Map<String, Estimate> pauses = new HashMap<>();
 
   /**
-   * What an answer is measured by.
+   * The properties of a response that its times depend on.
    *
    * @param route the route
    * @param model the model, empty for none
-   * @param expected the time to the head that was forecast, zero if none was
+   * @param expected the forecast time to the response head, zero without a forecast
    */
-  record Kind(Route route, String model, Duration expected) {
-    /** Returns the group whose answers are late by the same time. */
+  record Key(Route route, String model, Duration expected) {
+    /** Returns the name of the group of responses that share one estimate. */
     private String group() {
       return model.isEmpty() ? route.name() : model;
     }
   }
 
-  /** A running mean and mean deviation, in milliseconds. */
+  /** An exponential moving average and mean absolute deviation, in milliseconds. */
   private final class Estimate {
-    private Instant last = Instant.EPOCH;
+    private Instant lastMeasuredAt = Instant.EPOCH;
     private double mean;
     private double deviation;
-    private boolean any;
+    private boolean measured;
 
     void add(double millis) {
-      last = clock.instant();
-      if (!any) {
-        any = true;
+      lastMeasuredAt = clock.instant();
+      if (!measured) {
+        measured = true;
         mean = millis;
         deviation = millis / 2;
         return;
@@ -83,22 +83,22 @@
       mean += SMOOTHING * (millis - mean);
     }
 
-    /** Returns the chance that the next one is below the bound, by a logistic distribution. */
-    double chanceBelow(double bound) {
-      if (!any) {
+    /** Returns the probability that the next value is below the bound, assumed to be logistic. */
+    double probabilityBelow(double bound) {
+      if (!measured) {
         return bound > 0 ? 1 : 0;
       }
-      double age = Duration.between(last, clock.instant()).toMillis();
-      double fading = Math.exp(-Math.max(0, age - FADES_AFTER_MILLIS) / FADES_AFTER_MILLIS);
-      double scale = Math.max(1, deviation * SCALE_OF_DEVIATION);
-      return 1 / (1 + Math.exp((mean * fading - bound) / scale));
+      double age = Duration.between(lastMeasuredAt, clock.instant()).toMillis();
+      double decay = Math.exp(-Math.max(0, age - DECAY_MILLIS) / DECAY_MILLIS);
+      double scale = Math.max(1, deviation * LOGISTIC_SCALE);
+      return 1 / (1 + Math.exp((mean * decay - bound) / scale));
     }
 
-    /** Returns how long to wait for one that takes a known time besides what is measured. */
-    Duration patience(double least, double known) {
-      double wanted = known + mean + DEVIATIONS * deviation;
-      double longest = LONGEST * Math.max(least, known + mean);
-      return Duration.ofMillis((long) Math.min(longest, Math.max(least, wanted)));
+    /** Returns the timeout for an event that takes a known time plus the estimated time. */
+    Duration timeout(double minimum, double known) {
+      double uncapped = known + mean + TIMEOUT_DEVIATIONS * deviation;
+      double maximum = MAXIMUM_TIMEOUT_FACTOR * Math.max(minimum, known + mean);
+      return Duration.ofMillis((long) Math.min(maximum, Math.max(minimum, uncapped)));
     }
   }
 
@@ -106,50 +106,50 @@
     this.clock = clock;
   }
 
-  /** Returns times without any measurement. */
+  /** Returns an estimator without measurements. */
   static AnswerTimes create(InstantSource clock) {
     return new AnswerTimes(clock);
   }
 
   /**
-   * Returns the chance that an answer begins within the time; before the first measurement the
-   * forecast is believed.
+   * Returns the probability that a response begins within the time. Before the first measurement
+   * the forecast alone decides.
    *
-   * <p>A measurement that was long ago counts for less, so that a model that nobody asks because it
-   * was slow is tried again.
+   * <p>The mean decays with the age of the last measurement, so that a model that was avoided
+   * because it was slow is tried again.
    */
-  double chanceOfHeadWithin(Kind kind, Duration time) {
-    return delay(kind).chanceBelow(time.minus(kind.expected()).toMillis());
+  double probabilityOfHeadWithin(Key key, Duration time) {
+    return delayEstimate(key).probabilityBelow(time.minus(key.expected()).toMillis());
   }
 
-  /** Takes in how long an answer took to begin. */
-  void headTook(Kind kind, Duration took) {
-    delay(kind).add(Math.max(0, took.minus(kind.expected()).toMillis()));
+  /** Records the time until a response began. */
+  void recordHeadTime(Key key, Duration elapsed) {
+    delayEstimate(key).add(Math.max(0, elapsed.minus(key.expected()).toMillis()));
   }
 
-  /** Takes in a pause between events. */
-  void paused(Kind kind, long millis) {
-    pause(kind).add(millis);
+  /** Records a pause between events, in milliseconds. */
+  void recordPause(Key key, long millis) {
+    pauseEstimate(key).add(millis);
   }
 
-  /** Returns how long to wait for an answer to begin. */
-  Duration headPatience(Kind kind) {
-    double least = LEAST_SHARE_OF_GOAL * kind.route().goalMillis();
-    return delay(kind).patience(least, kind.expected().toMillis());
+  /** Returns the timeout until a response begins. */
+  Duration headTimeout(Key key) {
+    double minimum = MINIMUM_SHARE_OF_GOAL * key.route().goalMillis();
+    return delayEstimate(key).timeout(minimum, key.expected().toMillis());
   }
 
-  /** Returns how long to wait for the next event. */
-  Duration pausePatience(Kind kind) {
-    double goal = kind.route().pauseGoalMillis();
-    double least = goal > 0 ? LEAST_SHARE_OF_PAUSE * goal : LEAST_PAUSE_MILLIS;
-    return pause(kind).patience(least, 0);
+  /** Returns the timeout until the next event. */
+  Duration pauseTimeout(Key key) {
+    double goal = key.route().pauseGoalMillis();
+    double minimum = goal > 0 ? MINIMUM_SHARE_OF_PAUSE_GOAL * goal : MINIMUM_PAUSE_TIMEOUT_MILLIS;
+    return pauseEstimate(key).timeout(minimum, 0);
   }
 
-  private Estimate delay(Kind kind) {
-    return delays.computeIfAbsent(kind.group(), unused -> new Estimate());
+  private Estimate delayEstimate(Key key) {
+    return delays.computeIfAbsent(key.group(), unused -> new Estimate());
   }
 
-  private Estimate pause(Kind kind) {
-    return pauses.computeIfAbsent(kind.group(), unused -> new Estimate());
+  private Estimate pauseEstimate(Key key) {
+    return pauses.computeIfAbsent(key.group(), unused -> new Estimate());
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/AttemptFeedback.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/AttemptFeedback.java
@@ -12,12 +12,12 @@
 import org.oatlug.internal.table.UpstreamRow;
 
 /**
- * Tells the tables, and what is learned of upstreams, models and versions, how one attempt goes.
+ * Records the progress and outcome of one attempt in the state of upstreams, models and versions.
  *
- * <p>Invariants: the upstream's row holds a reservation, the prompt counts as one that waits, and
- * leave to write to a cold upstream is held from {@link #begin} until they end, and not longer;
- * everything is told of the start of the upstream that was chosen, also if another process has its
- * name by then. Used from one event loop.
+ * <p>Invariants: from {@link #begin} on the attempt holds a reservation in the row of the upstream
+ * and rate limit permits until {@link #end}, and its prompt counts as queued until the response
+ * begins or the attempt ends; everything is recorded for the process that was selected, even if
+ * another process has taken its name since. Used from one event loop.
  */
 final class AttemptFeedback {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -29,8 +29,8 @@
   private final String process;
   private final Instant started;
   private Optional<RateGate.Reservation> reservation = Optional.empty();
-  private Optional<Instant> written = Optional.empty();
-  private boolean reading;
+  private Optional<Instant> writtenAt = Optional.empty();
+  private boolean promptQueued;
 
   AttemptFeedback(
       GatewayParts parts,
@@ -49,87 +49,87 @@
     return parts.clock().instant();
   }
 
-  /** Returns when the attempt began. */
+  /** Returns the start time of the attempt. */
   Instant started() {
     return started;
   }
 
-  /** Returns how long ago the attempt began. */
+  /** Returns the time since the attempt began. */
   Duration took() {
     return Duration.between(started, now());
   }
 
-  /** Notes that the attempt begins. */
+  /** Records that the attempt begins, and reserves load, queue time and rate limit permits. */
   void begin() {
     chosen.row().reserve();
     reservation = Optional.of(parts.rates().reserve(chosen.name(), chosen.upstream(), started));
-    reading = true;
+    promptQueued = true;
     parts.reading().begin(process, chosen.forecast().readingMillis());
     parts.versions().sent(incoming.service(), chosen.upstream().version(), incoming.head());
     incoming
         .head()
         .generation()
-        .ifPresent(text -> UpstreamSelection.rememberPrompt(chosen.row(), model, text));
+        .ifPresent(generation -> UpstreamSelection.recordPrompt(chosen.row(), model, generation));
   }
 
   /**
-   * Records that the request is written now, if the rate limits of the upstream leave room for it.
+   * Records that the request is written now, if the rate limits of the upstream allow it.
    *
-   * @return why it may not be written, empty if it may
+   * @return the reason why it must not be written, empty if it may be
    */
   Optional<UpstreamStanding.Out> write() {
     Instant now = now();
-    Optional<UpstreamStanding.Out> refused = reservation.flatMap(one -> one.write(now));
+    Optional<UpstreamStanding.Out> refused = reservation.flatMap(held -> held.write(now));
     if (refused.isEmpty()) {
-      written = Optional.of(now);
+      writtenAt = Optional.of(now);
     }
     return refused;
   }
 
-  /** Notes that the answer begins, whatever it is. */
+  /** Records that the response begins, whatever its status, and applies its load information. */
   void headCame(AnswerHead head) {
-    endReading();
+    dequeuePrompt();
     parts.zones().reached(chosen.upstream().zone());
     head.load()
         .ifPresent(
             load ->
                 parts.tables().loads().report(chosen.row(), load.running(), load.waiting(), false));
     head.coldMillis().ifPresent(millis -> chosen.row().coldUntil(now().plusMillis(millis)));
-    head.rest().ifPresent(this::askedForRest);
-    noteLimit(head);
+    head.rest().ifPresent(this::backOff);
+    applyLimit(head);
     if (head.leaving()) {
-      saidLeaving(head);
+      recordLeaving(head);
     }
   }
 
-  private void askedForRest(Duration rest) {
+  private void backOff(Duration rest) {
     parts.meters().count("upstream.asked-for-rest");
     chosen.row().restUntil(now().plus(rest));
   }
 
-  /** Applies the limit that who answered advertises, or that it advertises none. */
-  private void noteLimit(AnswerHead head) {
-    rowOfAnswer(head)
+  /** Applies the rate limit that the response advertises, or records that there is none. */
+  private void applyLimit(AnswerHead head) {
+    rowOfResponse(head)
         .ifPresent(
             row -> {
               head.limitPerSecond()
                   .ifPresentOrElse(
-                      limit -> limited(row, limit),
-                      () -> written.ifPresent(at -> notLimited(row, at)));
+                      limit -> recordLimit(row, limit),
+                      () -> writtenAt.ifPresent(at -> recordNoLimit(row, at)));
             });
   }
 
-  private void limited(UpstreamRow row, double requestsPerSecond) {
+  private void recordLimit(UpstreamRow row, double requestsPerSecond) {
     parts.meters().count("upstream.limit-advertised");
     parts.limits().advertised(row.process(), requestsPerSecond);
   }
 
-  private void notLimited(UpstreamRow row, Instant requestWritten) {
+  private void recordNoLimit(UpstreamRow row, Instant requestWritten) {
     parts.limits().notAdvertised(row.process(), requestWritten);
   }
 
-  /** Returns the row of who answered, empty if it is a name that nobody registered. */
-  private Optional<UpstreamRow> rowOfAnswer(AnswerHead head) {
+  /** Returns the row of the upstream that responded, empty if its name is not registered. */
+  private Optional<UpstreamRow> rowOfResponse(AnswerHead head) {
     String name = head.answeredBy().orElse(chosen.name());
     if (name.equals(chosen.name())) {
       return Optional.of(chosen.row());
@@ -138,55 +138,56 @@
   }
 
   /**
-   * Marks who answered as leaving; another upstream may have the address by now. A name that nobody
-   * registered is not kept.
+   * Marks the upstream that responded as leaving; it may differ from the selected one, because the
+   * address may have been reassigned. A name that is not registered is ignored.
    */
-  private void saidLeaving(AnswerHead head) {
-    rowOfAnswer(head)
+  private void recordLeaving(AnswerHead head) {
+    rowOfResponse(head)
         .filter(row -> !row.leaving())
         .ifPresent(
             row -> {
               parts.meters().count("upstream.said-leaving");
-              logger.atInfo().log("upstream %s says in an answer that it leaves", row.name());
+              logger.atInfo().log(
+                  "upstream %s announced in a response that it is leaving", row.name());
               row.markLeaving();
             });
   }
 
-  private void endReading() {
-    if (reading) {
-      reading = false;
+  private void dequeuePrompt() {
+    if (promptQueued) {
+      promptQueued = false;
       parts.reading().end(process, chosen.forecast().readingMillis());
     }
   }
 
-  /** Notes that the attempt is over. */
+  /** Releases the reservations of the attempt. */
   void end() {
-    endReading();
+    dequeuePrompt();
     chosen.row().release();
     reservation.ifPresent(RateGate.Reservation::release);
   }
 
-  /** Notes that the upstream did what it should. */
+  /** Records a success of the upstream. */
   void succeeded() {
     chosen.row().succeeded(now());
   }
 
-  /** Notes that the upstream failed. */
+  /** Records a failure of the upstream. */
   void failed() {
     chosen.row().failed(now());
   }
 
-  /** Notes that the upstream refused the request for its load. */
+  /** Records that the upstream refused the request because of its load. */
   void refused() {
     chosen.row().refused(now());
   }
 
-  /** Notes that the upstream could not be reached. */
+  /** Records that no connection to the upstream could be opened. */
   void notReached() {
     parts.zones().notReached(chosen.upstream().zone(), chosen.name(), now());
   }
 
-  /** Tells the rule of versions what the upstream's version made of the request. */
+  /** Reports the outcome of the request on the upstream's version to the version rule. */
   void outcome(boolean bad) {
     parts
         .versions()
@@ -200,7 +201,7 @@
                 took()));
   }
 
-  /** Tells the rule of versions how fast the upstream's version makes the stream. */
+  /** Reports the streaming rate of the upstream's version to the version rule. */
   void pace(double millisPerEvent) {
     parts
         .versions()
@@ -213,34 +214,34 @@
                 millisPerEvent));
   }
 
-  /** Learns from the time to the head, and notes by how much the forecast missed it. */
+  /** Updates the estimates with the time to the response head, and meters the forecast error. */
   void speed() {
-    parts.times().headTook(kind(), took());
+    parts.times().recordHeadTime(timesKey(), took());
     HeadForecast forecast = chosen.forecast();
     if (forecast.equals(HeadForecast.NONE)) {
       return;
     }
-    Duration late = took().minus(forecast.timeToHead());
-    parts.meters().time(late.isNegative() ? "forecast.early" : "forecast.late", late.abs());
+    Duration error = took().minus(forecast.timeToHead());
+    parts.meters().time(error.isNegative() ? "forecast.early" : "forecast.late", error.abs());
     parts.speeds().answered(process, model, forecast, took(), now());
   }
 
-  /** Notes how long the stream paused. */
+  /** Records a pause between events of the stream. */
   void paused(Duration pause) {
-    parts.times().paused(kind(), pause.toMillis());
+    parts.times().recordPause(timesKey(), pause.toMillis());
   }
 
-  /** Returns how long the upstream may be silent before its answer begins. */
+  /** Returns the timeout until the response begins. */
   Duration headPatience() {
-    return parts.times().headPatience(kind());
+    return parts.times().headTimeout(timesKey());
   }
 
-  /** Returns how long the upstream may be silent between the events of a stream. */
+  /** Returns the timeout between two events of a stream. */
   Duration pausePatience() {
-    return parts.times().pausePatience(kind());
+    return parts.times().pauseTimeout(timesKey());
   }
 
-  private AnswerTimes.Kind kind() {
-    return new AnswerTimes.Kind(incoming.route(), model, chosen.forecast().timeToHead());
+  private AnswerTimes.Key timesKey() {
+    return new AnswerTimes.Key(incoming.route(), model, chosen.forecast().timeToHead());
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/ExpectedWorth.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/ExpectedWorth.java
@@ -12,47 +12,48 @@
 import org.oatlug.internal.engine.HeadForecast;
 
 /**
- * Starts with the smallest model and goes straight to the largest when that is worth more.
+ * Starts a cascade with the smallest model and escalates directly to the largest if that has the
+ * higher expected value.
  *
- * <p>The worth of taking an answer is the chance that it is good enough, read from the model's
- * confidence. The worth of asking the largest model is the chance that its answer begins in time,
- * from the measured times of this instance, less the price of the model. So a loaded pool, whose
- * answers begin late, is asked for less, before any request is refused. Owned by one event loop,
- * not thread-safe.
+ * <p>The value of accepting a response is the probability that it is good enough, estimated from
+ * the model's confidence. The value of escalating is the probability that the response of the
+ * largest model begins in time, estimated from the response times that this instance has measured,
+ * less the price of the model. So a loaded pool, whose responses begin late, receives fewer
+ * escalations before any request is refused. Owned by one event loop, not thread-safe.
  */
 final class ExpectedWorth implements StageRule {
-  /** The confidence at which an answer is as often good as not. */
-  private static final double EVEN_CONFIDENCE = 43;
+  /** Confidence, 0 to 100, at which half of the responses are good. */
+  private static final double EVEN_ODDS_CONFIDENCE = 43;
 
-  /** How much confidence makes an answer surer, as the scale of a logistic. */
+  /** Scale of the logistic function from confidence to the probability of a good response. */
   private static final double CONFIDENCE_SCALE = 8;
 
-  /** What a late answer is worth, as a share of one in time; from the deployments' sheets. */
-  private static final double LATE_WORTH = 0.3;
+  /** Value of a late response relative to one in time, from the deployment specifications. */
+  private static final double LATE_VALUE = 0.3;
 
-  /** What an answer is worth that was too hard for its model; from the deployments' sheets. */
-  private static final double POOR_WORTH = 0.05;
+  /** Value of a response that was too hard for its model, from the deployment specifications. */
+  private static final double POOR_VALUE = 0.05;
 
-  /** What asking again has to gain: it takes an attempt that a broken stream may need. */
-  private static final double LEAST_GAIN = 0.02;
+  /** Minimum gain of an escalation: it uses an attempt that an interrupted stream may need. */
+  private static final double MINIMUM_GAIN = 0.02;
 
-  /** Credit for each token read, and for a tenth of a token made; the middle of the sheets. */
-  private static final double WORTH_OF_TOKEN = 2.5e-4;
+  /** Credit per prompt token: the middle of the range in the deployment specifications. */
+  private static final double CREDIT_PER_PROMPT_TOKEN = 2.5e-4;
 
-  /** What a token made is worth, in tokens read. */
-  private static final double MADE_TOKEN = 10;
+  /** Credit for an output token, in prompt tokens. */
+  private static final double PROMPT_TOKENS_PER_OUTPUT_TOKEN = 10;
 
-  /** What a token read costs, as a share of one made. */
-  private static final double READ_SHARE_OF_COST = 0.25;
+  /** Price of a prompt token relative to an output token. */
+  private static final double PROMPT_TOKEN_PRICE_SHARE = 0.25;
 
-  /** The tokens made that the price of a model is for. */
-  private static final double COST_TOKENS = 1000;
+  /** Number of output tokens that the price of a model covers. */
+  private static final double PRICED_OUTPUT_TOKENS = 1000;
 
   /**
-   * What reading for as long as the goal of the request costs others, as a share of its worth: they
-   * wait behind it.
+   * Loss of the requests queued behind a prefill that takes as long as the time to first token goal
+   * of the route, relative to the value of a response.
    */
-  private static final double READING_LOSS = 2.0;
+  private static final double QUEUEING_LOSS = 2.0;
 
   private final GatewayTables tables;
   private final AnswerTimes times;
@@ -62,7 +63,7 @@
     this.times = times;
   }
 
-  /** Returns a rule that reads prices from the tables and times from the measurements. */
+  /** Returns a rule that uses the prices in the tables and the measured times. */
   static ExpectedWorth create(GatewayTables tables, AnswerTimes times) {
     return new ExpectedWorth(tables, times);
   }
@@ -78,56 +79,60 @@
     if (answer.stage() >= largest) {
       return OptionalInt.empty();
     }
-    double good = chanceOfGood(answer.confidence());
-    double taken = good + (1 - good) * POOR_WORTH;
+    double goodProbability = probabilityOfGood(answer.confidence());
+    double acceptValue = goodProbability + (1 - goodProbability) * POOR_VALUE;
     String model = answer.route().models().get(largest);
     HeadForecast forecast = answer.expected().apply(model);
-    double asked =
-        worthInTime(answer, model, forecast)
+    double escalateValue =
+        expectedValue(answer, model, forecast)
             - relativePrice(answer, model)
-            - lossOfOthers(answer, forecast);
-    return asked > taken + LEAST_GAIN ? OptionalInt.of(largest) : OptionalInt.empty();
+            - queueingLoss(answer, forecast);
+    return escalateValue > acceptValue + MINIMUM_GAIN
+        ? OptionalInt.of(largest)
+        : OptionalInt.empty();
   }
 
-  private static double chanceOfGood(int confidence) {
-    return 1 / (1 + Math.exp((EVEN_CONFIDENCE - confidence) / CONFIDENCE_SCALE));
+  private static double probabilityOfGood(int confidence) {
+    return 1 / (1 + Math.exp((EVEN_ODDS_CONFIDENCE - confidence) / CONFIDENCE_SCALE));
   }
 
   /**
-   * Returns what others lose while the engine reads the prompt: they wait for it, and the later
-   * they begin the more of them are late. On a route without a goal nobody is late.
+   * Returns the loss of other requests while the engine prefills the prompt: they are queued behind
+   * it, and the longer it takes, the more of them are late. It is zero on a route without a goal,
+   * where no response counts as late.
    */
-  private static double lossOfOthers(Poor answer, HeadForecast forecast) {
+  private static double queueingLoss(Poor answer, HeadForecast forecast) {
     long goal = answer.route().goalMillis();
-    return goal > 0 ? READING_LOSS * forecast.readingMillis() / goal : 0;
+    return goal > 0 ? QUEUEING_LOSS * forecast.readingMillis() / goal : 0;
   }
 
-  private double worthInTime(Poor answer, String model, HeadForecast forecast) {
-    Duration left = Duration.ofMillis(answer.route().goalMillis()).minus(answer.elapsed());
-    AnswerTimes.Kind kind = new AnswerTimes.Kind(answer.route(), model, forecast.timeToHead());
-    double inTime = times.chanceOfHeadWithin(kind, left);
-    return inTime + (1 - inTime) * LATE_WORTH;
+  private double expectedValue(Poor answer, String model, HeadForecast forecast) {
+    Duration remaining = Duration.ofMillis(answer.route().goalMillis()).minus(answer.elapsed());
+    AnswerTimes.Key key = new AnswerTimes.Key(answer.route(), model, forecast.timeToHead());
+    double inTimeProbability = times.probabilityOfHeadWithin(key, remaining);
+    return inTimeProbability + (1 - inTimeProbability) * LATE_VALUE;
   }
 
-  /** Returns the price of the model for the request as a share of what the request is worth. */
+  /** Returns the price of the model for the request relative to the credit of the request. */
   private double relativePrice(Poor answer, String model) {
     Generation generation = answer.generation();
-    double read = generation.promptTokens();
-    double made = generation.lengthHint().orElse(generation.maximumTokens());
-    double worth = WORTH_OF_TOKEN * (read + MADE_TOKEN * made);
-    if (worth <= 0) {
+    double promptTokens = generation.promptTokens();
+    double outputTokens = generation.lengthHint().orElse(generation.maximumTokens());
+    double credit =
+        CREDIT_PER_PROMPT_TOKEN * (promptTokens + PROMPT_TOKENS_PER_OUTPUT_TOKEN * outputTokens);
+    if (credit <= 0) {
       return 0;
     }
-    double tokens = read * READ_SHARE_OF_COST + made;
-    return costOf(answer.service(), model) * tokens / COST_TOKENS / worth;
+    double pricedTokens = promptTokens * PROMPT_TOKEN_PRICE_SHARE + outputTokens;
+    return priceOf(answer.service(), model) * pricedTokens / PRICED_OUTPUT_TOKENS / credit;
   }
 
-  private double costOf(String service, String model) {
+  private double priceOf(String service, String model) {
     Optional<ServiceDefinition.Engine> engine =
         tables.service(service).flatMap(ServiceDefinition::engine);
     return engine.stream()
-        .flatMap(known -> known.models().stream())
-        .filter(known -> known.name().equals(model))
+        .flatMap(definition -> definition.models().stream())
+        .filter(candidate -> candidate.name().equals(model))
         .mapToDouble(ServiceDefinition.Model::cost)
         .findFirst()
         .orElse(0);
--- a/org.oatlug/src/org/oatlug/internal/gateway/RateGate.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RateGate.java
@@ -18,11 +18,11 @@
 import org.oatlug.internal.table.UpstreamRow;
 
 /**
- * Applies the limits on the rate of all instances together to an upstream: that of one which has
- * just started, and the one that it advertises.
+ * Enforces the rate limits of an upstream that all instances share: the limit during a cold start
+ * and the limit that the upstream advertises.
  *
- * <p>Invariant: an upstream whose service names no bound for its cold ones, and which advertises no
- * limit, is never limited. Owned by one event loop, not thread-safe.
+ * <p>Invariant: an upstream is never limited if its service configures no cold-start limit and the
+ * upstream advertises none. Owned by one event loop, not thread-safe.
  */
 final class RateGate {
   private final GatewayTables tables;
@@ -43,7 +43,7 @@
     this.advertisedLimit = SharedRateLimit.create(senders.ofLimited());
   }
 
-  /** Returns a gate under which nothing was sent yet. */
+  /** Returns a gate that has admitted no requests yet. */
   static RateGate create(
       GatewayTables tables,
       GatewaySettings.Bounds bounds,
@@ -52,22 +52,24 @@
     return new RateGate(tables, bounds, advertised, senders);
   }
 
-  /** Returns whether the upstream is warm, or may get a request all the same. */
-  boolean allowsAsCold(UpstreamRecord upstream, UpstreamRow row, Instant now) {
-    return cold(upstream, row, now).map(target -> coldLimit.allows(target, now)).orElse(true);
+  /** Returns whether the upstream is warm or its cold-start limit admits a request. */
+  boolean coldLimitAllows(UpstreamRecord upstream, UpstreamRow row, Instant now) {
+    return coldTarget(upstream, row, now).map(target -> coldLimit.allows(target, now)).orElse(true);
   }
 
-  /** Returns whether the upstream advertises no limit, or may get a request within it. */
-  boolean allowsAsAdvertised(UpstreamRecord upstream, UpstreamRow row, Instant now) {
-    return limited(upstream, row).map(target -> advertisedLimit.allows(target, now)).orElse(true);
+  /** Returns whether the upstream advertises no limit or its limit admits a request. */
+  boolean advertisedLimitAllows(UpstreamRecord upstream, UpstreamRow row, Instant now) {
+    return advertisedTarget(upstream, row)
+        .map(target -> advertisedLimit.allows(target, now))
+        .orElse(true);
   }
 
-  /** The reservations of one request at one upstream. Used from one event loop. */
+  /** Holds the rate limit permits of one request at one upstream. Used from one event loop. */
   final class Reservation {
     private final String name;
     private final UpstreamRecord upstream;
-    private Optional<Permit> cold = Optional.empty();
-    private Optional<Permit> limited = Optional.empty();
+    private Optional<Permit> coldPermit = Optional.empty();
+    private Optional<Permit> advertisedPermit = Optional.empty();
 
     private Reservation(String name, UpstreamRecord upstream) {
       this.name = name;
@@ -76,22 +78,23 @@
 
     private void acquire(Instant now) {
       UpstreamRow row = tables.row(name);
-      cold = cold.or(() -> cold(upstream, row, now).map(coldLimit::acquire));
-      limited = limited.or(() -> limited(upstream, row).map(advertisedLimit::acquire));
+      coldPermit = coldPermit.or(() -> coldTarget(upstream, row, now).map(coldLimit::acquire));
+      advertisedPermit =
+          advertisedPermit.or(() -> advertisedTarget(upstream, row).map(advertisedLimit::acquire));
     }
 
     /**
-     * Acquires what is missing because a limit began since the upstream was chosen, and records
-     * that the request is written now.
+     * Records that the request is written now. Acquires permits of limits that came into force
+     * after the upstream was selected.
      *
-     * @return why it may not be written, empty if it may
+     * @return the reason why it must not be written, empty if it may be
      */
     Optional<UpstreamStanding.Out> write(Instant now) {
       UpstreamRow row = tables.row(name);
-      if (cold.isEmpty() && !allowsAsCold(upstream, row, now)) {
+      if (coldPermit.isEmpty() && !coldLimitAllows(upstream, row, now)) {
         return Optional.of(UpstreamStanding.Out.COLD);
       }
-      if (limited.isEmpty() && !allowsAsAdvertised(upstream, row, now)) {
+      if (advertisedPermit.isEmpty() && !advertisedLimitAllows(upstream, row, now)) {
         return Optional.of(UpstreamStanding.Out.LIMITED);
       }
       acquire(now);
@@ -99,50 +102,51 @@
       return Optional.empty();
     }
 
-    /** Releases what was not used. */
+    /** Releases the permits that were not used. */
     void release() {
       permits().forEach(Permit::release);
     }
 
     private List<Permit> permits() {
       List<Permit> permits = new ArrayList<>();
-      cold.ifPresent(permits::add);
-      limited.ifPresent(permits::add);
+      coldPermit.ifPresent(permits::add);
+      advertisedPermit.ifPresent(permits::add);
       return permits;
     }
   }
 
-  /** Reserves a request at the upstream, as far as its rate is limited now. */
+  /** Acquires a permit from each rate limit of the upstream that is in force now. */
   Reservation reserve(String name, UpstreamRecord upstream, Instant now) {
     Reservation reservation = new Reservation(name, upstream);
     reservation.acquire(now);
     return reservation;
   }
 
-  /** Returns the upstream as a target, empty if it is warm or accepts any rate at once. */
-  private Optional<Target> cold(UpstreamRecord upstream, UpstreamRow row, Instant now) {
+  /** Returns the target of the cold-start limit, empty if the upstream is warm or has no limit. */
+  private Optional<Target> coldTarget(UpstreamRecord upstream, UpstreamRow row, Instant now) {
     if (!row.isCold(now)) {
       return Optional.empty();
     }
     return tables
         .service(upstream.service())
         .flatMap(ServiceDefinition::coldStart)
-        .map(start -> Target.cold(row.process(), upstream.zone(), bound(start)));
+        .map(coldStart -> Target.cold(row.process(), upstream.zone(), coldRate(coldStart)));
   }
 
-  private double bound(ServiceDefinition.ColdStart start) {
-    return start.requestsPerSecond() * bounds.coldShare() + bounds.coldReserve();
+  private double coldRate(ServiceDefinition.ColdStart coldStart) {
+    return coldStart.requestsPerSecond() * bounds.coldShare() + bounds.coldReserve();
   }
 
-  /** Returns the upstream as a target, empty if it advertises no limit. */
-  private Optional<Target> limited(UpstreamRecord upstream, UpstreamRow row) {
+  /** Returns the target of the advertised limit, empty if the upstream advertises none. */
+  private Optional<Target> advertisedTarget(UpstreamRecord upstream, UpstreamRow row) {
     return advertised
         .find(row.process())
         .map(limit -> Target.advertised(row.process(), upstream.zone(), limit));
   }
 
   /**
-   * Returns the requests a second that the upstreams of a service accept, of those with a limit.
+   * Returns the sum of the limits that the upstreams of a service advertise, in requests per
+   * second.
    */
   double advertisedOf(String service) {
     return tables.upstreamsOf(service).stream()
--- a/org.oatlug/src/org/oatlug/internal/gateway/UpstreamSelection.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/UpstreamSelection.java
@@ -23,18 +23,18 @@
 import org.oatlug.internal.util.Hashes;
 
 /**
- * Chooses the upstream of a service that answers a request.
+ * Selects the upstream of a service for a request.
  *
- * <p>What is known of each upstream is put together here and weighed by {@link PlacementCost}. A
- * shared part of a prompt has a home, the same upstream for all instances, which is taken to keep
- * it; an upstream that this instance sent it to keeps it too. Invariant: an upstream that is
- * leaving, in an emptied zone, without room in a rate limit, tried or without a connection left is
- * never chosen; one that is kept out after failures only if there is no other. Owned by one event
- * loop, not thread-safe.
+ * <p>Collects the state of each upstream and computes its cost with {@link PlacementCost}. A shared
+ * prompt prefix has a home upstream, which is the same on all instances and is assumed to have the
+ * prefix cached; so is any upstream to which this instance has sent the prefix. Invariant: an
+ * upstream is never selected if it is leaving, is in a drained zone, has exhausted a rate limit,
+ * has already been tried or has no free connection; one that is ejected after failures is selected
+ * only if there is no alternative. Owned by one event loop, not thread-safe.
  */
 final class UpstreamSelection {
-  /** Spreads requests over upstreams of equal cost, in milliseconds. */
-  private static final double SPREAD_MILLIS = 5;
+  /** Maximum random cost, in milliseconds, that distributes requests over equal upstreams. */
+  private static final double JITTER_MILLIS = 5;
 
   private final String zone;
   private final GatewayTables tables;
@@ -42,7 +42,7 @@
   private final OpenReading reading;
   private final ZoneReach zones;
   private final UpstreamStanding standing;
-  private final Predicate<String> setApart;
+  private final Predicate<String> hasSuspect;
   private final RandomGenerator random;
 
   private UpstreamSelection(
@@ -52,7 +52,7 @@
       OpenReading reading,
       ZoneReach zones,
       RateGate rates,
-      Predicate<String> setApart,
+      Predicate<String> hasSuspect,
       RandomGenerator random) {
     this.zone = zone;
     this.tables = tables;
@@ -60,14 +60,14 @@
     this.reading = reading;
     this.zones = zones;
     this.standing = UpstreamStanding.of(tables, rates);
-    this.setApart = setApart;
+    this.hasSuspect = hasSuspect;
     this.random = random;
   }
 
   /**
-   * Returns a selection for an instance of the zone.
+   * Returns a selection for an instance in the availability zone.
    *
-   * @param setApart whether an upstream has a request that has to run alone
+   * @param hasSuspect whether an upstream runs a request that is suspected of crashing upstreams
    */
   static UpstreamSelection create(
       String zone,
@@ -76,21 +76,21 @@
       OpenReading reading,
       ZoneReach zones,
       RateGate rates,
-      Predicate<String> setApart,
+      Predicate<String> hasSuspect,
       RandomGenerator random) {
-    return new UpstreamSelection(zone, tables, speeds, reading, zones, rates, setApart, random);
+    return new UpstreamSelection(zone, tables, speeds, reading, zones, rates, hasSuspect, random);
   }
 
   /**
-   * What an upstream is wanted for.
+   * The criteria by which an upstream is selected for a request.
    *
    * @param service the service
-   * @param version which versions may answer, empty for any
-   * @param model the model that will answer, empty for none
-   * @param generation what the request says of its prompt
-   * @param bodyBytes the size of the request
-   * @param excluded upstreams that were tried
-   * @param alone whether the request is to run where nothing else does
+   * @param version the constraint on the version of the upstream, empty for any version
+   * @param model the model that generates the response, empty for none
+   * @param generation the declared prompt and output sizes, empty if the request generates nothing
+   * @param bodyBytes the size of the request body in bytes
+   * @param excluded the upstreams that have already been tried
+   * @param isolated whether the request has to run isolated from other requests
    */
   record Wanted(
       String service,
@@ -99,29 +99,29 @@
       Optional<Generation> generation,
       int bodyBytes,
       Set<String> excluded,
-      boolean alone) {
-    private boolean isMetBy(UpstreamRecord upstream) {
-      return version.map(wish -> wish.isMetBy(upstream.version())).orElse(true);
+      boolean isolated) {
+    private boolean matchesVersion(UpstreamRecord upstream) {
+      return version.map(constraint -> constraint.isMetBy(upstream.version())).orElse(true);
     }
 
-    /** Returns the same for another model. */
-    Wanted of(String other) {
+    /** Returns the same criteria for another model. */
+    Wanted of(String newModel) {
       return new Wanted(
-          service, version, Optional.of(other), generation, bodyBytes, excluded, alone);
+          service, version, Optional.of(newModel), generation, bodyBytes, excluded, isolated);
     }
   }
 
-  /** An upstream of a service, with what this instance knows of it. */
+  /** An eligible upstream of a service and the state that this instance has observed. */
   private record Candidate(String name, UpstreamRecord upstream, UpstreamRow row) {}
 
   /**
-   * An upstream that can be chosen.
+   * An upstream that can be selected, with its cost.
    *
-   * @param name its name
-   * @param upstream its entry
-   * @param row what this instance knows of it
-   * @param forecast what is expected there until the answer begins
-   * @param costMillis what it costs to choose it, in milliseconds
+   * @param name the name of the upstream
+   * @param upstream its registration
+   * @param row the state that this instance has observed
+   * @param forecast the predicted time until the response begins
+   * @param costMillis the placement cost in milliseconds
    */
   record Chosen(
       String name,
@@ -131,51 +131,53 @@
       double costMillis) {}
 
   /**
-   * Returns the cheapest upstream, empty if there is none; the one with the least to lose for a
-   * request that runs alone.
+   * Returns the upstream with the lowest cost, empty if none is eligible. For a request that runs
+   * isolated, the upstream with the lowest load comes first, so that a crash affects few requests.
    */
-  Optional<Chosen> choose(Wanted wanted, Instant now) {
+  Optional<Chosen> choose(Wanted criteria, Instant now) {
     Comparator<Chosen> byCost = Comparator.comparingDouble(Chosen::costMillis);
-    Comparator<Chosen> order = wanted.alone() ? leastOpen(now).thenComparing(byCost) : byCost;
-    return costs(wanted, now).stream().min(order);
+    Comparator<Chosen> order =
+        criteria.isolated() ? byLowestLoad(now).thenComparing(byCost) : byCost;
+    return costs(criteria, now).stream().min(order);
   }
 
-  private Comparator<Chosen> leastOpen(Instant now) {
-    return Comparator.<Chosen, Boolean>comparing(one -> one.row().ejected(now))
-        .thenComparing(one -> setApart.test(one.name()))
-        .thenComparing(one -> one.row().expectedLoad());
+  private Comparator<Chosen> byLowestLoad(Instant now) {
+    return Comparator.<Chosen, Boolean>comparing(candidate -> candidate.row().ejected(now))
+        .thenComparing(candidate -> hasSuspect.test(candidate.name()))
+        .thenComparing(candidate -> candidate.row().expectedLoad());
   }
 
-  /** Returns the upstreams that can be chosen, with their costs, in no order. */
-  List<Chosen> costs(Wanted wanted, Instant now) {
-    List<Candidate> candidates = candidates(wanted, now);
-    String home = homeOf(wanted, candidates);
+  /** Returns the upstreams that can be selected, with their costs, in no particular order. */
+  List<Chosen> costs(Wanted criteria, Instant now) {
+    List<Candidate> candidates = candidates(criteria, now);
+    String home = homeOf(criteria, candidates);
     Optional<Prompt> prompt =
-        wanted.generation().map(text -> Prompt.of(wanted.model().orElse(""), text));
+        criteria.generation().map(generation -> Prompt.of(criteria.model().orElse(""), generation));
     List<Chosen> costs = new ArrayList<>();
     for (Candidate candidate : candidates) {
       HeadForecast forecast =
-          prompt.map(text -> forecast(candidate, text, home, now)).orElse(HeadForecast.NONE);
-      double cost = PlacementCost.of(place(candidate, forecast, now), wanted.bodyBytes());
-      double spread = random.nextDouble() * SPREAD_MILLIS;
+          prompt.map(value -> forecast(candidate, value, home, now)).orElse(HeadForecast.NONE);
+      double cost = PlacementCost.of(place(candidate, forecast, now), criteria.bodyBytes());
+      double jitter = random.nextDouble() * JITTER_MILLIS;
       costs.add(
           new Chosen(
-              candidate.name(), candidate.upstream(), candidate.row(), forecast, cost + spread));
+              candidate.name(), candidate.upstream(), candidate.row(), forecast, cost + jitter));
     }
     return costs;
   }
 
-  /** Returns whether upstreams may get requests. */
+  /** Returns the check of whether an upstream may receive requests. */
   UpstreamStanding standing() {
     return standing;
   }
 
   private HeadForecast forecast(Candidate candidate, Prompt prompt, String home, Instant now) {
-    Unread unread = prompt.unreadAt(candidate, home);
+    Uncached uncached = prompt.uncachedAt(candidate, home);
     double slowness = speeds.slownessOf(candidate.row().process(), now);
-    double waiting = reading.waitingMillis(candidate.row().process(), now);
-    double own = speeds.lineOf(prompt.model()).millisFor(unread.tokens());
-    return new HeadForecast(slowness * waiting, slowness * own, unread.tokens(), unread.certain());
+    double queueMillis = reading.waitingMillis(candidate.row().process(), now);
+    double prefillMillis = speeds.lineOf(prompt.model()).millisFor(uncached.tokens());
+    return new HeadForecast(
+        slowness * queueMillis, slowness * prefillMillis, uncached.tokens(), uncached.certain());
   }
 
   private PlacementCost.Place place(Candidate candidate, HeadForecast forecast, Instant now) {
@@ -188,47 +190,57 @@
         otherZone,
         candidate.row().failureShare(now),
         candidate.row().isCold(now),
-        cutOff || candidate.row().ejected(now) || setApart.test(candidate.name()));
+        cutOff || candidate.row().ejected(now) || hasSuspect.test(candidate.name()));
   }
 
   /**
-   * Returns the upstreams that can be chosen: of the versions that are wished and ordered, else of
-   * those that are wished, else of any if the wish gives way.
+   * Returns the eligible upstreams that satisfy the version constraint and whose version is not
+   * awaiting an order; if there are none, all that satisfy the constraint; if there are none of
+   * those, all of any version, provided that the constraint allows it.
    */
-  private List<Candidate> candidates(Wanted wanted, Instant now) {
-    List<Candidate> wished =
-        usable(wanted, one -> wanted.isMetBy(one) && !tables.isUnordered(one), now);
-    if (wished.isEmpty()) {
-      wished = usable(wanted, wanted::isMetBy, now);
+  private List<Candidate> candidates(Wanted criteria, Instant now) {
+    List<Candidate> matching =
+        eligible(
+            criteria,
+            upstream -> criteria.matchesVersion(upstream) && !tables.isUnordered(upstream),
+            now);
+    if (matching.isEmpty()) {
+      matching = eligible(criteria, criteria::matchesVersion, now);
     }
-    return wished.isEmpty() && givesWay(wanted) ? usable(wanted, unused -> true, now) : wished;
+    return matching.isEmpty() && allowsAnyVersion(criteria)
+        ? eligible(criteria, unused -> true, now)
+        : matching;
   }
 
-  private boolean givesWay(Wanted wanted) {
+  private boolean allowsAnyVersion(Wanted criteria) {
     VersionRule.Firmness firmness =
-        wanted.version().map(VersionRule.Wish::firmness).orElse(VersionRule.Firmness.REQUIRED);
+        criteria.version().map(VersionRule.Wish::firmness).orElse(VersionRule.Firmness.REQUIRED);
     return switch (firmness) {
       case PREFERRED -> true;
       case KEPT ->
-          tables.upstreamsOf(wanted.service()).stream().noneMatch(one -> keeps(wanted, one));
+          tables.upstreamsOf(criteria.service()).stream()
+              .noneMatch(upstream -> remainsInService(criteria, upstream));
       case REQUIRED -> false;
     };
   }
 
-  /** Returns whether the upstream is of a wished version and stays, if others were tried or not. */
-  private boolean keeps(Wanted wanted, String name) {
+  /** Returns whether the upstream, tried or not, satisfies the version constraint and stays. */
+  private boolean remainsInService(Wanted criteria, String name) {
     UpstreamRecord upstream = tables.upstream(name).orElseThrow();
-    return wanted.isMetBy(upstream) && !tables.isLeaving(name) && !tables.isEmptied(upstream);
+    return criteria.matchesVersion(upstream)
+        && !tables.isLeaving(name)
+        && !tables.isEmptied(upstream);
   }
 
-  private List<Candidate> usable(Wanted wanted, Predicate<UpstreamRecord> fits, Instant now) {
+  private List<Candidate> eligible(
+      Wanted criteria, Predicate<UpstreamRecord> versionFilter, Instant now) {
     List<Candidate> candidates = new ArrayList<>();
-    int most = standing.mostConnections(wanted.service());
-    for (String name : tables.upstreamsOf(wanted.service())) {
+    int connectionLimit = standing.connectionLimitOf(criteria.service());
+    for (String name : tables.upstreamsOf(criteria.service())) {
       UpstreamRecord upstream = tables.upstream(name).orElseThrow();
       UpstreamRow row = tables.row(name);
-      boolean fitting = !wanted.excluded().contains(name) && fits.test(upstream);
-      if (fitting && standing.outOf(upstream, row, most, now).isEmpty()) {
+      boolean isCandidate = !criteria.excluded().contains(name) && versionFilter.test(upstream);
+      if (isCandidate && standing.outOf(upstream, row, connectionLimit, now).isEmpty()) {
         candidates.add(new Candidate(name, upstream, row));
       }
     }
@@ -236,50 +248,53 @@
   }
 
   /**
-   * Returns the upstream that keeps the shared part of the prompt: one for all zones if reading the
-   * part again takes longer than the way into another zone costs, else one of the own zone.
+   * Returns the home upstream of the shared prompt prefix, selected by rendezvous hashing. There is
+   * one home for all zones if another prefill of the prefix costs more than a request to another
+   * zone, otherwise one home per zone.
    */
-  private String homeOf(Wanted wanted, List<Candidate> candidates) {
-    List<PromptPart> parts = wanted.generation().map(Generation::prompt).orElse(List.of());
+  private String homeOf(Wanted criteria, List<Candidate> candidates) {
+    List<PromptPart> parts = criteria.generation().map(Generation::prompt).orElse(List.of());
     if (parts.size() < 2) {
       return "";
     }
     int sharedTokens = parts.stream().limit(parts.size() - 1L).mapToInt(PromptPart::tokens).sum();
-    double again = speeds.lineOf(wanted.model().orElse("")).millisPerToken() * sharedTokens;
-    boolean anyZone = again > PlacementCost.otherZoneOfEngine(wanted.bodyBytes());
+    double rereadMillis =
+        speeds.lineOf(criteria.model().orElse("")).millisPerToken() * sharedTokens;
+    boolean anyZone = rereadMillis > PlacementCost.otherZoneOfEngine(criteria.bodyBytes());
     long shared = parts.get(parts.size() - 2).hash();
     String home = "";
-    long highest = Long.MIN_VALUE;
+    long highestScore = Long.MIN_VALUE;
     for (Candidate candidate : candidates) {
-      long rank = candidate.row().rankFor(shared);
-      boolean near = anyZone || candidate.upstream().zone().equals(zone);
-      if (near && rank > highest) {
-        highest = rank;
+      long score = candidate.row().rankFor(shared);
+      boolean inScope = anyZone || candidate.upstream().zone().equals(zone);
+      if (inScope && score > highestScore) {
+        highestScore = score;
         home = candidate.name();
       }
     }
     return home;
   }
 
-  /** Remembers that the upstream reads the prompt for the model. */
-  static void rememberPrompt(UpstreamRow row, String model, Generation generation) {
+  /** Records that the upstream caches the prompt for the model. */
+  static void recordPrompt(UpstreamRow row, String model, Generation generation) {
     Prompt.of(model, generation).cacheKeys().forEach(row::rememberPrefix);
   }
 
   /**
-   * The part of a prompt that an upstream has to read.
+   * The part of a prompt that an upstream has to prefill.
    *
-   * @param tokens its size
-   * @param certain whether that is known, and not only hoped
+   * @param tokens its size in tokens
+   * @param certain whether the size follows only from prompts that were sent to the upstream, and
+   *     not from an assumption about the home
    */
-  private record Unread(double tokens, boolean certain) {}
+  private record Uncached(double tokens, boolean certain) {}
 
   /**
-   * A prompt as the caches of one model know it.
+   * A prompt with its prefix cache keys for one model.
    *
    * @param model the model
-   * @param generation what the request says of its prompt
-   * @param cacheKeys the keys of its parts, which are other ones for another model
+   * @param generation the declared prompt and output sizes
+   * @param cacheKeys the keys of the prompt parts, which differ between models
    */
   private record Prompt(String model, Generation generation, List<Long> cacheKeys) {
     static Prompt of(String model, Generation generation) {
@@ -289,21 +304,21 @@
       return new Prompt(model, generation, keys);
     }
 
-    /** Returns what the upstream probably has to read; the home is taken to keep what is shared. */
-    Unread unreadAt(Candidate candidate, String home) {
-      int kept = 0;
+    /** Returns the part to prefill, assuming that the home has cached the shared prefix. */
+    Uncached uncachedAt(Candidate candidate, String home) {
+      int cachedTokens = 0;
       boolean certain = true;
       for (int index = 0; index < cacheKeys.size(); index++) {
         boolean known = candidate.row().hasPrefix(cacheKeys.get(index));
         boolean shared = index < cacheKeys.size() - 1;
-        boolean hoped = shared && candidate.name().equals(home);
-        if (!known && !hoped) {
+        boolean assumed = shared && candidate.name().equals(home);
+        if (!known && !assumed) {
           break;
         }
         certain &= known;
-        kept += generation.prompt().get(index).tokens();
+        cachedTokens += generation.prompt().get(index).tokens();
       }
-      return new Unread(Math.max(0, generation.promptTokens() - kept), certain);
+      return new Uncached(Math.max(0, generation.promptTokens() - cachedTokens), certain);
     }
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/UpstreamStanding.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/UpstreamStanding.java
@@ -16,10 +16,10 @@
 import org.oatlug.internal.table.UpstreamRow;
 
 /**
- * Says whether an upstream may get a request now, and why not.
+ * Determines whether an upstream may receive a request now, and if not, the reason.
  *
- * <p>Invariant: what is asked before a request is written and what is told to callers and operators
- * are the same rule. Owned by one event loop, not thread-safe.
+ * <p>Invariant: the check before a request is written and the reasons reported to callers and
+ * operators follow the same rule. Owned by one event loop, not thread-safe.
  */
 final class UpstreamStanding {
   private static final Optional<Out> LEAVES = Optional.of(Out.LEAVES);
@@ -29,8 +29,8 @@
   private static final Optional<Out> LIMITED = Optional.of(Out.LIMITED);
   private static final Optional<Out> FULL = Optional.of(Out.FULL);
 
-  /** What a request that was chosen for an upstream holds already. */
-  private static final Set<Out> HELD_BY_REQUEST =
+  /** Reasons that don't apply to a selected request: it has reserved its connection and permits. */
+  private static final Set<Out> RESERVED_BY_REQUEST =
       Sets.immutableEnumSet(Out.FULL, Out.COLD, Out.LIMITED);
 
   private final GatewayTables tables;
@@ -41,25 +41,25 @@
     this.rates = rates;
   }
 
-  /** Returns the standing of the upstreams in the tables. */
+  /** Returns a check of the upstreams in the tables. */
   static UpstreamStanding of(GatewayTables tables, RateGate rates) {
     return new UpstreamStanding(tables, rates);
   }
 
-  /** Why an upstream gets nothing. */
+  /** The reason why an upstream receives no requests. */
   enum Out {
-    /** It said that it leaves, in its entry or in an answer, or is gone. */
-    LEAVES("the upstream leaves", "upstream-leaves"),
-    /** Its availability zone is being emptied. */
-    ZONE_EMPTIED("its zone is emptied", "zone-emptied"),
-    /** It refused a request and asked for rest. */
-    RESTS("the upstream wants rest", "upstream-rests"),
+    /** It announced in its registration or a response that it is leaving, or is deregistered. */
+    LEAVES("the upstream is leaving", "upstream-leaves"),
+    /** Its availability zone is being drained. */
+    ZONE_EMPTIED("the availability zone of the upstream is being drained", "zone-emptied"),
+    /** It refused a request and asked instances to back off. */
+    RESTS("the upstream asked to back off", "upstream-rests"),
     /** All its connections are in use. */
-    FULL("the upstream is full", "upstream-full"),
-    /** It has just started and its allowance is used. */
-    COLD("the upstream turned cold", "upstream-cold"),
-    /** Its advertised limit leaves nothing to this instance now. */
-    LIMITED("the upstream limits its rate", "upstream-limited");
+    FULL("all connections of the upstream are in use", "upstream-full"),
+    /** It is in its cold start and the cold-start rate limit is exhausted. */
+    COLD("the cold-start rate limit of the upstream is exhausted", "upstream-cold"),
+    /** The rate limit that it advertises is exhausted for this instance. */
+    LIMITED("the rate limit of the upstream is exhausted", "upstream-limited");
 
     private final String reason;
     private final String cause;
@@ -69,40 +69,42 @@
       this.cause = cause;
     }
 
-    /** Returns the reason in words, for the log. */
+    /** Returns the reason as text for the log. */
     String reason() {
       return reason;
     }
 
-    /** Returns the cause under which a request that goes elsewhere is counted. */
+    /** Returns the metric label for requests that are sent to another upstream instead. */
     String cause() {
       return cause;
     }
   }
 
   /**
-   * Returns why a request that was about to be written goes elsewhere: the upstream may have gone
-   * out while the connection to it was opened. The request's own place is its already; its permits
-   * are the matter of the {@link RateGate.Reservation}.
+   * Returns why a selected request must not be written, empty if it may be. The upstream may have
+   * become unavailable while the connection was being opened. The connection is already reserved
+   * for the request, and {@link RateGate.Reservation} checks the rate limits.
    */
   Optional<Out> turnedOut(String name, Instant now) {
-    return outOf(name, now).filter(out -> !HELD_BY_REQUEST.contains(out));
+    return outOf(name, now).filter(reason -> !RESERVED_BY_REQUEST.contains(reason));
   }
 
-  /** Returns why the upstream gets nothing now, empty if it may be sent to. */
+  /** Returns why the upstream receives no requests now, empty if it may receive them. */
   Optional<Out> outOf(String name, Instant now) {
     return tables
         .upstream(name)
-        .map(one -> outOf(one, tables.row(name), mostConnections(one.service()), now))
+        .map(
+            upstream ->
+                outOf(upstream, tables.row(name), connectionLimitOf(upstream.service()), now))
         .orElse(Optional.of(Out.LEAVES));
   }
 
   /**
-   * Returns why an upstream gets nothing now, empty if it may be sent to.
+   * Returns why an upstream receives no requests now, empty if it may receive them.
    *
-   * @param most how many connections it takes, see {@link #mostConnections}
+   * @param connectionLimit its maximum number of connections, see {@link #connectionLimitOf}
    */
-  Optional<Out> outOf(UpstreamRecord upstream, UpstreamRow row, int most, Instant now) {
+  Optional<Out> outOf(UpstreamRecord upstream, UpstreamRow row, int connectionLimit, Instant now) {
     if (upstream.leaving() || row.leaving()) {
       return LEAVES;
     }
@@ -112,22 +114,23 @@
     if (row.isResting(now)) {
       return RESTS;
     }
-    if (row.expectedLoad() >= most) {
+    if (row.expectedLoad() >= connectionLimit) {
       return FULL;
     }
-    if (!rates.allowsAsCold(upstream, row, now)) {
+    if (!rates.coldLimitAllows(upstream, row, now)) {
       return COLD;
     }
-    return rates.allowsAsAdvertised(upstream, row, now) ? Optional.empty() : LIMITED;
+    return rates.advertisedLimitAllows(upstream, row, now) ? Optional.empty() : LIMITED;
   }
 
-  /** Returns how many connections an upstream takes; each open request has its own. */
-  int mostConnections(String service) {
-    int most = tables.service(service).map(ServiceDefinition::maximumConnections).orElse(0);
-    return most > 0 ? most : Integer.MAX_VALUE;
+  /** Returns the maximum connections of an upstream; each open request uses its own connection. */
+  int connectionLimitOf(String service) {
+    int connectionLimit =
+        tables.service(service).map(ServiceDefinition::maximumConnections).orElse(0);
+    return connectionLimit > 0 ? connectionLimit : Integer.MAX_VALUE;
   }
 
-  /** Returns why a service has no upstream to choose, for the caller and the operator. */
+  /** Returns the refusal reason for a service without eligible upstreams. */
   RefusalReason reasonOfNone(String service, Instant now) {
     Set<Out> reasons = EnumSet.noneOf(Out.class);
     tables.upstreamsOf(service).forEach(name -> outOf(name, now).ifPresent(reasons::add));
@@ -137,7 +140,7 @@
     if (reasons.contains(Out.RESTS)) {
       return RefusalReason.UPSTREAMS_REST;
     }
-    // A place at a full upstream becomes free sooner than a limit leaves room.
+    // A connection becomes free sooner than a rate limit admits another request.
     if (reasons.contains(Out.LIMITED) && !reasons.contains(Out.FULL)) {
       return RefusalReason.UPSTREAMS_LIMITED;
     }
@@ -147,13 +150,13 @@
   }
 
   /**
-   * Returns when the first upstream of a service has rested, empty if one may be sent to now or
-   * none rests.
+   * Returns the shortest remaining back-off time of the upstreams of a service, empty if one is
+   * eligible now or none is backing off.
    */
   Optional<Duration> soonestRested(String service, Instant now) {
-    boolean anyFree =
+    boolean anyEligible =
         tables.upstreamsOf(service).stream().anyMatch(name -> outOf(name, now).isEmpty());
-    if (anyFree) {
+    if (anyEligible) {
       return Optional.empty();
     }
     return tables.upstreamsOf(service).stream()
