--- a/org.oatlug/src/org/oatlug/internal/gateway/CrashGuard.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/CrashGuard.java
@@ -17,62 +17,63 @@
 import org.oatlug.internal.metrics.Meters;
 
 /**
- * Keeps requests under which upstreams end from ending more of them.
+ * Prevents requests that crash upstreams from crashing more of them.
  *
- * <p>A request under which two starts of upstreams have ended runs alone: once at a time, at an
- * upstream with nothing else open where there is one, without a repeat in its try. So the next end
- * takes little along, and what is innocent soon ends well. What is held against a request is the
- * matter of the {@link CrashLedger}. Invariant: an upstream is set apart exactly while a suspect of
- * this instance is open there. Used from one event loop.
+ * <p>A request becomes a suspect when two upstream processes have crashed while running it. A
+ * suspect runs isolated: once at a time, preferably on an idle upstream, and without retries within
+ * the try. So another crash affects few other requests, and a harmless request is soon cleared by
+ * completing. The {@link CrashLedger} holds the evidence. Invariant: an upstream counts as running
+ * a suspect exactly while this instance has a suspect open there. Used from one event loop.
  */
 final class CrashGuard {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** When the caller of a suspect may come back while another try of it runs. */
-  private static final Duration TRIES_APART = Duration.ofSeconds(1);
+  /** Retry delay for the caller of a suspect of which another try is running. */
+  private static final Duration SUSPECT_RETRY_DELAY = Duration.ofSeconds(1);
 
   private final CrashLedger ledger;
-  private final UpstreamEnds ends;
+  private final CrashProbe crashProbe;
   private final InstantSource clock;
   private final Meters meters;
 
-  /** The upstreams at which suspects are open, by fingerprint. */
-  private final Map<String, String> setApart = new HashMap<>();
+  /** The upstreams that run suspects, by the fingerprint of the request. */
+  private final Map<String, String> suspectUpstreams = new HashMap<>();
 
-  private CrashGuard(CrashLedger ledger, UpstreamEnds ends, InstantSource clock, Meters meters) {
+  private CrashGuard(
+      CrashLedger ledger, CrashProbe crashProbe, InstantSource clock, Meters meters) {
     this.ledger = ledger;
-    this.ends = ends;
+    this.crashProbe = crashProbe;
     this.clock = clock;
     this.meters = meters;
   }
 
-  /** Returns a guard against whose requests nothing is held yet. */
+  /** Returns a guard that has recorded no crashes yet. */
   static CrashGuard create(Vertx vertx, InstantSource clock, Meters meters) {
-    return new CrashGuard(CrashLedger.create(clock), UpstreamEnds.create(vertx), clock, meters);
+    return new CrashGuard(CrashLedger.create(clock), CrashProbe.create(vertx), clock, meters);
   }
 
-  /** Returns what is held against requests, here and by all instances that told of it. */
+  /** Returns the ledger of crashes that this instance and its peers have recorded. */
   CrashLedger ledger() {
     return ledger;
   }
 
-  /** Returns the guard's view of a request. */
+  /** Returns the guard for one try of a request. */
   Guarded guard(Incoming incoming) {
     return new Guarded(incoming);
   }
 
-  /** Returns whether a suspect runs at the upstream. */
+  /** Returns whether a suspect runs on the upstream. */
   boolean isSetApart(String upstream) {
-    return !setApart.isEmpty() && setApart.containsValue(upstream);
+    return !suspectUpstreams.isEmpty() && suspectUpstreams.containsValue(upstream);
   }
 
-  /** Forgets what is held against a request; returns whether anything was. */
+  /** Removes the evidence against a request and returns whether there was any. */
   boolean forget(String fingerprint) {
-    logger.atInfo().log("an operator lets request %s run again", fingerprint);
+    logger.atInfo().log("operator cleared request %s to run again", fingerprint);
     return ledger.forget(fingerprint);
   }
 
-  /** One try of a request, as the guard sees it. */
+  /** Guards one try of a request. */
   final class Guarded {
     private final Incoming incoming;
     private Optional<String> fingerprint = Optional.empty();
@@ -81,7 +82,7 @@
       this.incoming = incoming;
     }
 
-    /** Returns the fingerprint, worked out once and only if something is held at all. */
+    /** Returns the fingerprint; it is computed once, and only if the ledger is not empty. */
     private String fingerprint() {
       if (fingerprint.isEmpty()) {
         fingerprint = Optional.of(incoming.fingerprint());
@@ -89,69 +90,75 @@
       return fingerprint.get();
     }
 
-    /** Returns what is held of the request. */
+    /** Returns the verdict on the request. */
     Verdict verdict() {
       return ledger.isEmpty() ? Verdict.CLEAR : ledger.verdict(fingerprint());
     }
 
-    /** Returns whether the request has to run alone. */
+    /** Returns whether the request has to run isolated. */
     boolean isSuspect() {
       return verdict() == Verdict.SUSPECT;
     }
 
-    /** Returns when its caller may come back, empty if the request may run now. */
+    /** Returns the time after which the caller may retry, empty if the request may run now. */
     Optional<Duration> refusedFor() {
       return switch (verdict()) {
         case CLEAR -> Optional.empty();
         case SUSPECT ->
-            setApart.containsKey(fingerprint()) ? Optional.of(TRIES_APART) : Optional.empty();
+            suspectUpstreams.containsKey(fingerprint())
+                ? Optional.of(SUSPECT_RETRY_DELAY)
+                : Optional.empty();
         case REFUSED -> Optional.of(ledger.lapsesAfter(fingerprint()));
       };
     }
 
-    /** Returns the starts of upstreams that ended under the request. */
+    /** Returns the upstream processes that crashed while running the request. */
     List<String> ended() {
       return ledger.ended(fingerprint());
     }
 
-    /** Takes in that the suspect is sent to an upstream. */
+    /** Records that the suspect is sent to an upstream. */
     void runsAlone(String upstream) {
       meters.count("crash.suspect-alone");
-      setApart.put(fingerprint(), upstream);
+      suspectUpstreams.put(fingerprint(), upstream);
     }
 
-    /** Takes in that the suspect is no longer open there. */
+    /** Records that the suspect is no longer open on its upstream. */
     void isOver() {
-      setApart.remove(fingerprint());
+      suspectUpstreams.remove(fingerprint());
     }
 
     /**
-     * Returns whether the request stops for this try after its answer broke off: if the upstream
-     * has ended, which is not known yet, the request is a suspect.
+     * Returns whether the request must not be retried within this try after its response was
+     * interrupted: if the upstream turns out to have crashed, the request becomes a suspect.
      */
     boolean stopsAfterBreak(String process) {
       return !ledger.isEmpty() && ledger.isSuspectAfter(fingerprint(), process);
     }
 
     /**
-     * Takes in that the answer of an upstream broke off; it counts if the upstream has ended.
+     * Records that the response of an upstream was interrupted; it counts as evidence if the
+     * upstream has crashed.
      *
-     * @param began when the attempt began
+     * @param attemptStart the start time of the attempt
      */
-    void brokeOff(UpstreamSelection.Chosen chosen, Instant began) {
-      Instant broken = clock.instant();
-      ends.ifEnded(
-          chosen.row().process(), chosen.upstream(), () -> upstreamEnded(chosen, began, broken));
+    void brokeOff(UpstreamSelection.Chosen chosen, Instant attemptStart) {
+      Instant interruptedAt = clock.instant();
+      crashProbe.ifCrashed(
+          chosen.row().process(),
+          chosen.upstream(),
+          () -> recordCrash(chosen, attemptStart, interruptedAt));
     }
 
-    private void upstreamEnded(UpstreamSelection.Chosen chosen, Instant began, Instant broken) {
+    private void recordCrash(
+        UpstreamSelection.Chosen chosen, Instant attemptStart, Instant interruptedAt) {
       meters.count("crash.upstream-ended");
-      chosen.row().ended(broken);
+      chosen.row().ended(interruptedAt);
       ledger.upstreamEnded(
-          fingerprint(), incoming.subject(), chosen.row().process(), began, broken);
+          fingerprint(), incoming.subject(), chosen.row().process(), attemptStart, interruptedAt);
     }
 
-    /** Takes in that the request got a whole answer. */
+    /** Records that the request completed with a whole response. */
     void endedWell() {
       if (!ledger.isEmpty()) {
         ledger.endedWell(fingerprint());
--- /dev/null
+++ b/org.oatlug/src/org/oatlug/internal/gateway/CrashProbe.java
@@ -0,0 +1,94 @@
+// Copyright (c) 2026, the oatlug authors
+// SPDX-License-Identifier: BSD-3-Clause
+
+package org.oatlug.internal.gateway;
+
+import io.netty.channel.ConnectTimeoutException;
+import io.vertx.core.Vertx;
+import io.vertx.core.net.NetClient;
+import io.vertx.core.net.NetClientOptions;
+import io.vertx.core.net.NetSocket;
+import java.net.ConnectException;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import org.oatlug.gateway.UpstreamRecord;
+import org.oatlug.internal.util.BoundedMap;
+
+/**
+ * Determines whether an upstream process has crashed after a response of it was interrupted.
+ *
+ * <p>A lost or truncated response looks the same whether the process crashed or the network failed.
+ * So the probe opens a connection to the address: it is refused at once if no process listens any
+ * more, and accepted by a live process. A process that is cut off by the network does neither and
+ * counts as alive. Invariants: at most one probe connection per upstream process is being opened;
+ * each action runs at most once. Used from one event loop.
+ */
+final class CrashProbe {
+  /** Connect timeout in milliseconds: many round trips between availability zones. */
+  private static final int CONNECT_TIMEOUT_MILLIS = 400;
+
+  /** Crashed processes to remember: all whose interrupted responses may still be reported. */
+  private static final int MAXIMUM_CRASHED = 256;
+
+  private final Vertx vertx;
+  private final Map<String, List<Runnable>> pendingActions = new HashMap<>();
+  private final Map<String, Boolean> crashed = BoundedMap.ofMost(MAXIMUM_CRASHED);
+
+  private Optional<NetClient> client = Optional.empty();
+
+  private CrashProbe(Vertx vertx) {
+    this.vertx = vertx;
+  }
+
+  /** Returns a probe that has recorded no crashes yet. */
+  static CrashProbe create(Vertx vertx) {
+    return new CrashProbe(vertx);
+  }
+
+  /** Returns the client, created on first use, because most instances never need it. */
+  private NetClient client() {
+    if (client.isEmpty()) {
+      NetClientOptions options = new NetClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MILLIS);
+      client = Optional.of(vertx.createNetClient(options));
+    }
+    return client.get();
+  }
+
+  /** Runs the action if the upstream process has crashed, now or as soon as that is known. */
+  void ifCrashed(String process, UpstreamRecord upstream, Runnable action) {
+    if (crashed.containsKey(process)) {
+      action.run();
+      return;
+    }
+    List<Runnable> pending = pendingActions.get(process);
+    if (pending != null) {
+      pending.add(action);
+      return;
+    }
+    pendingActions.put(process, new ArrayList<>(List.of(action)));
+    client()
+        .connect(upstream.port(), upstream.host())
+        .onComplete(
+            socket -> connected(process, socket), failure -> connectFailed(process, failure));
+  }
+
+  private void connected(String process, NetSocket socket) {
+    socket.close();
+    pendingActions.remove(process);
+  }
+
+  private void connectFailed(String process, Throwable failure) {
+    List<Runnable> actions = pendingActions.remove(process);
+    if (isRefused(failure)) {
+      crashed.put(process, Boolean.TRUE);
+      actions.forEach(Runnable::run);
+    }
+  }
+
+  private static boolean isRefused(Throwable failure) {
+    return failure instanceof ConnectException && !(failure instanceof ConnectTimeoutException);
+  }
+}
