--- a/org.oatlug/src/org/oatlug/internal/gateway/Admission.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/Admission.java
@@ -19,69 +19,72 @@
 import org.oatlug.gateway.WorkspaceKeys;
 
 /**
- * Says by its head whether a request may go on, and on which route.
+ * Admits or refuses requests by their head, and determines their route.
  *
- * <p>Invariant: every refusal says that the request has not run. Used from one event loop.
+ * <p>Invariant: every refusal states that the request has not run. Used from one event loop.
  */
 final class Admission {
-  /** When callers shall come back that came before the first configuration or find no room. */
-  private static final Duration COME_BACK = Duration.ofMillis(500);
+  /** Retry delay for requests that arrive before the first configuration or exceed the memory. */
+  private static final Duration RETRY_DELAY = Duration.ofMillis(500);
 
-  /** How long a planned stop takes every request: until the balancer has seen two misses. */
-  private static final Duration TAKES_ALL_FOR = Duration.ofMillis(2900);
+  /** Time for which a planned stop admits all requests: two failed checks of the balancer. */
+  private static final Duration STOP_GRACE_PERIOD = Duration.ofMillis(2900);
 
-  /** When a caller may come back that is sent to another instance: at once. */
-  private static final Duration GO_ELSEWHERE = Duration.ofMillis(20);
+  /** Retry delay for callers that are to use another instance: practically none. */
+  private static final Duration OTHER_INSTANCE_RETRY_DELAY = Duration.ofMillis(20);
 
-  /** The bytes of a header besides its name and value: colon, space and the end of the line. */
-  private static final int SEPARATORS_BYTES = 4;
+  /** Bytes of a header besides its name and value: colon, space and line break. */
+  private static final int SEPARATOR_BYTES = 4;
 
   private final GatewayParts parts;
-  private final BooleanSupplier serves;
+  private final BooleanSupplier ready;
   private Optional<PlannedStop> stop = Optional.empty();
 
-  private Admission(GatewayParts parts, BooleanSupplier serves) {
+  private Admission(GatewayParts parts, BooleanSupplier ready) {
     this.parts = parts;
-    this.serves = serves;
+    this.ready = ready;
   }
 
   /**
-   * Returns an admission of an instance that does not stop yet.
+   * Returns the admission of an instance that is not stopping.
    *
-   * @param serves whether the instance knows enough to serve
+   * @param ready whether the instance is ready to serve
    */
-  static Admission create(GatewayParts parts, BooleanSupplier serves) {
-    return new Admission(parts, serves);
+  static Admission create(GatewayParts parts, BooleanSupplier ready) {
+    return new Admission(parts, ready);
   }
 
   /**
-   * What an admitted request goes on with.
+   * An admitted request.
    *
    * @param route its route
-   * @param workspace whose request it is, empty if that is not known and need not be
+   * @param workspace the workspace that sent it, empty if it is unknown and not required
    */
   record Admitted(Route route, Optional<WorkspaceKeys> workspace) {}
 
   /**
    * A planned stop.
    *
-   * @param takesAllUntil until when every request is taken; the balancer knows by then
-   * @param cutAt when what is still open will be cut
+   * @param admitsAllUntil the time until which all requests are admitted; by then the balancer has
+   *     noticed the stop
+   * @param abortAt the time at which open requests are aborted
    */
-  private record PlannedStop(Instant takesAllUntil, Instant cutAt) {
-    /** Returns whether a request of the route, taken now, ends or times out before the cut. */
-    boolean takes(Route route, Instant now) {
-      return now.isBefore(takesAllUntil) || !now.plusMillis(route.timeoutMillis()).isAfter(cutAt);
+  private record PlannedStop(Instant admitsAllUntil, Instant abortAt) {
+    /** Returns whether the stop admits a request of the route: it has to end before the abort. */
+    boolean admits(Route route, Instant now) {
+      return now.isBefore(admitsAllUntil)
+          || !now.plusMillis(route.timeoutMillis()).isAfter(abortAt);
     }
   }
 
   /**
-   * Begins a planned stop: after a while only requests are admitted that end before the cut.
+   * Begins a planned stop. After a grace period only requests that time out before the abort are
+   * admitted.
    *
-   * @param cutAt when what is still open will be cut
+   * @param abortAt the time at which open requests are aborted
    */
-  void beginStop(Instant cutAt) {
-    stop = Optional.of(new PlannedStop(parts.clock().instant().plus(TAKES_ALL_FOR), cutAt));
+  void beginStop(Instant abortAt) {
+    stop = Optional.of(new PlannedStop(parts.clock().instant().plus(STOP_GRACE_PERIOD), abortAt));
   }
 
   /** Returns whether a planned stop has begun. */
@@ -89,7 +92,7 @@
     return stop.isPresent();
   }
 
-  /** Reads the head of a request; refuses one that is too large or says nothing sound. */
+  /** Reads the head of a request, and refuses one that is too large or invalid. */
   RequestHead read(HttpServerRequest request) throws RefusedException {
     int limit = parts.tables().limits().headerBytes();
     if (headBytes(request) > limit) {
@@ -106,22 +109,23 @@
   private static int headBytes(HttpServerRequest request) {
     int bytes = request.uri().length();
     for (Map.Entry<String, String> header : request.headers()) {
-      bytes += header.getKey().length() + header.getValue().length() + SEPARATORS_BYTES;
+      bytes += header.getKey().length() + header.getValue().length() + SEPARATOR_BYTES;
     }
     return bytes;
   }
 
   /** Admits a request, or refuses it. */
   Admitted admit(HttpServerRequest request, RequestHead head) throws RefusedException {
-    if (!serves.getAsBoolean()) {
+    if (!ready.getAsBoolean()) {
       throw new RefusedException(
-          Refusal.retryAfter(RefusalReason.NOT_READY, ErrorText.get().notReady, COME_BACK));
+          Refusal.retryAfter(RefusalReason.NOT_READY, ErrorText.get().notReady, RETRY_DELAY));
     }
     Route route = routeOf(head);
     Optional<WorkspaceKeys> workspace = authenticate(head, route);
-    if (stop.isPresent() && !stop.get().takes(route, parts.clock().instant())) {
+    if (stop.isPresent() && !stop.get().admits(route, parts.clock().instant())) {
       throw new RefusedException(
-          Refusal.retryAfter(RefusalReason.STOPPING, ErrorText.get().stopping, GO_ELSEWHERE));
+          Refusal.retryAfter(
+              RefusalReason.STOPPING, ErrorText.get().stopping, OTHER_INSTANCE_RETRY_DELAY));
     }
     checkBodyBytes(declaredLength(request));
     return new Admitted(route, workspace);
@@ -160,7 +164,7 @@
     return text == null ? 0 : Long.parseLong(text.trim());
   }
 
-  /** Refuses a body of more bytes than the limit in force. */
+  /** Refuses a body that exceeds the limit in force. */
   void checkBodyBytes(long bytes) throws RefusedException {
     int limit = parts.tables().limits().bodyBytes();
     if (bytes > limit) {
@@ -169,11 +173,11 @@
     }
   }
 
-  /** Takes room for a part of a body, or refuses it; what is taken is to be given back. */
+  /** Reserves memory for a part of a body, or refuses it; the caller has to release it. */
   void hold(long bytes) throws RefusedException {
     if (!parts.held().take(bytes)) {
       throw new RefusedException(
-          Refusal.retryAfter(RefusalReason.OVERLOADED, ErrorText.get().overloaded, COME_BACK));
+          Refusal.retryAfter(RefusalReason.OVERLOADED, ErrorText.get().overloaded, RETRY_DELAY));
     }
   }
 
--- a/org.oatlug/src/org/oatlug/internal/gateway/KnownUpstreams.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/KnownUpstreams.java
@@ -23,12 +23,13 @@
 import org.oatlug.internal.table.UpstreamTable;
 
 /**
- * The upstreams that are registered, the availability zones that are to get nothing, and what is
- * learned of each upstream.
+ * Holds the registered upstreams, the drained availability zones and the observed state of each
+ * upstream.
  *
- * <p>Invariants: an upstream is its name and its start; what was learned of another start is gone
- * as soon as the entry of the new one is known. A zone counts as emptied from the moment that this
- * is known until it is taken back. Owned by one event loop, not thread-safe.
+ * <p>Invariants: an upstream process is identified by its name and start time; the state observed
+ * of an earlier process is dropped as soon as the registration of the next one is merged. A zone
+ * counts as drained from the merge of the drain until it is revoked. Owned by one event loop, not
+ * thread-safe.
  */
 final class KnownUpstreams {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -44,54 +45,57 @@
     this.clock = clock;
   }
 
-  /** Returns a directory that knows nobody. */
+  /** Returns an empty directory. */
   static KnownUpstreams create(InstantSource clock) {
     return new KnownUpstreams(clock);
   }
 
-  /** Takes in what an upstream says of itself; returns what it said before. */
-  Optional<UpstreamRecord> put(String name, UpstreamRecord read) {
-    // Before the entry it replaces goes, so that no version seems to be without upstreams.
-    versions.added(read.service(), read.version());
-    final Optional<UpstreamRecord> known = remove(name);
-    records.put(name, read);
-    byService.computeIfAbsent(read.service(), unused -> new ArrayList<>()).add(name);
-    if (read.startedAtMillis().isPresent()) {
-      noteStart(name, read.startedAtMillis().getAsLong());
+  /** Adds or replaces the registration of an upstream and returns the previous one. */
+  Optional<UpstreamRecord> put(String name, UpstreamRecord registration) {
+    // Before the replaced registration is removed, so that no version appears without upstreams.
+    versions.added(registration.service(), registration.version());
+    final Optional<UpstreamRecord> previous = remove(name);
+    records.put(name, registration);
+    byService.computeIfAbsent(registration.service(), unused -> new ArrayList<>()).add(name);
+    if (registration.startedAtMillis().isPresent()) {
+      recordStart(name, registration.startedAtMillis().getAsLong());
     }
-    read.coldMillis().ifPresent(millis -> row(name).coldUntil(clock.instant().plusMillis(millis)));
-    return known;
+    registration
+        .coldMillis()
+        .ifPresent(millis -> row(name).coldUntil(clock.instant().plusMillis(millis)));
+    return previous;
   }
 
-  /** Drops what was learned under the name of another start: this process knows nothing of it. */
-  private void noteStart(String name, long startedAtMillis) {
+  /** Drops the state of an earlier process of the same name: it doesn't apply to this process. */
+  private void recordStart(String name, long startedAtMillis) {
     if (loads.started(name, startedAtMillis)) {
-      logger.atInfo().log("upstream %s started anew, started=%d", name, startedAtMillis);
+      logger.atInfo().log("upstream %s was restarted, started=%d", name, startedAtMillis);
     }
   }
 
-  /** Takes in that an upstream is gone; returns what it said of itself. */
+  /** Removes the registration of an upstream and returns it. */
   Optional<UpstreamRecord> remove(String name) {
-    Optional<UpstreamRecord> known = Optional.ofNullable(records.remove(name));
-    known.ifPresent(
+    Optional<UpstreamRecord> previous = Optional.ofNullable(records.remove(name));
+    previous.ifPresent(
         record -> {
           byService.get(record.service()).remove(name);
           versions.removed(record.service(), record.version());
         });
-    return known;
+    return previous;
   }
 
-  /** Takes in that the upstreams of a zone shall get nothing; returns whether that is new. */
+  /** Marks a zone as drained and returns whether it was not drained before. */
   boolean emptyZone(String zone) {
     return emptiedZones.add(zone);
   }
 
   /**
-   * Takes in that a zone is taken back: its upstreams may have turned cold just before, and their
-   * entries may say so later than this, so each counts as cold for as long as after a start.
+   * Revokes the drain of a zone. Its upstreams may have become cold shortly before, and their
+   * registrations may arrive later than this, so each is treated as cold for as long as after a
+   * start.
    *
    * @param services the services by name
-   * @return whether the zone was emptied
+   * @return whether the zone was drained
    */
   boolean takeBackZone(String zone, Function<String, Optional<ServiceDefinition>> services) {
     if (!emptiedZones.remove(zone)) {
@@ -110,27 +114,27 @@
     return true;
   }
 
-  /** Returns the zones whose upstreams shall get nothing. */
+  /** Returns an unmodifiable view of the drained zones. */
   Set<String> emptiedZones() {
     return Collections.unmodifiableSet(emptiedZones);
   }
 
-  /** Returns whether an upstream is in a zone that shall get nothing. */
+  /** Returns whether an upstream is in a drained zone. */
   boolean isEmptied(UpstreamRecord record) {
     return !emptiedZones.isEmpty() && emptiedZones.contains(record.zone());
   }
 
-  /** Returns which versions have upstreams. */
+  /** Returns the versions that have upstreams. */
   KnownVersions versions() {
     return versions;
   }
 
-  /** Returns what an upstream says of itself. */
+  /** Returns the registration of an upstream, empty if it is not registered. */
   Optional<UpstreamRecord> record(String name) {
     return Optional.ofNullable(records.get(name));
   }
 
-  /** Returns what was learned of an upstream since its start. */
+  /** Returns the state observed of an upstream since its start. */
   UpstreamRow row(String name) {
     return loads.row(name);
   }
@@ -145,7 +149,7 @@
     return records.keySet();
   }
 
-  /** Returns what is known of the load of upstreams. */
+  /** Returns the load table of the upstreams. */
   UpstreamTable loads() {
     return loads;
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/RetryBudgets.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RetryBudgets.java
@@ -11,19 +11,19 @@
 import org.oatlug.internal.limit.RetryBudget;
 
 /**
- * The retry budget of each service.
+ * Holds the retry budget of each service.
  *
- * <p>Each instance keeps to the agreed share of its own first tries, so that all instances together
- * keep to it without asking each other; the agreed reserve is split over the instances that are
- * believed to live. Those of a zone that is cut off are still believed to, so the parts of a cut
- * fleet do not grow. Invariants: an instance that starts brings one try of the reserve with it,
- * because its predecessor may have spent its part; with more instances than the reserve has tries
- * each keeps one, which the unused part of the share makes up for. Owned by one event loop, not
- * thread-safe.
+ * <p>Each instance limits its retries to the agreed share of its own first tries, so that all
+ * instances together stay within the share without coordination. The agreed reserve is divided
+ * among the instances that are believed to be alive. Instances in a partitioned availability zone
+ * still count as alive, so the parts of a partitioned fleet do not grow. Invariants: an instance
+ * starts with one retry of the reserve, because its predecessor may have spent its part; if there
+ * are more instances than retries in the reserve, each still gets one, and the unused part of the
+ * share compensates for it. Owned by one event loop, not thread-safe.
  */
 final class RetryBudgets {
-  /** Leaves room for connections that an upstream counts and this instance does not. */
-  private static final double SHARE_USED = 0.85;
+  /** Used part of the share; the rest covers connections that only the upstream counts. */
+  private static final double USED_SHARE = 0.85;
 
   private final Map<String, RetryBudget> budgets = new HashMap<>();
   private final double share;
@@ -37,15 +37,15 @@
   /**
    * Returns budgets within the bounds of the deployment.
    *
-   * @param instances how many instances share the reserve
+   * @param instances supplies the number of instances that share the reserve
    */
   static RetryBudgets within(GatewaySettings.Bounds bounds, IntSupplier instances) {
     DoubleSupplier reserve =
         () -> Math.max(1, bounds.retryReserve() / (double) Math.max(1, instances.getAsInt()));
-    return new RetryBudgets(bounds.retryShare() * SHARE_USED, reserve);
+    return new RetryBudgets(bounds.retryShare() * USED_SHARE, reserve);
   }
 
-  /** Returns the budget of a service. */
+  /** Returns the retry budget of a service. */
   RetryBudget of(String service) {
     return budgets.computeIfAbsent(service, unused -> RetryBudget.earned(share, reserve));
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/ReturnSpread.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/ReturnSpread.java
@@ -12,25 +12,25 @@
 import org.oatlug.internal.limit.SharedRateLimit;
 
 /**
- * Spreads the moments at which refused callers may come back.
+ * Computes retry delays for refused callers and adds jitter to them.
  *
- * <p>Load pattern: upstreams that asked for rest take requests again at one moment, and all callers
- * that were refused meanwhile know it. If they all return then, the upstreams refuse again. Used
- * from one event loop.
+ * <p>Load pattern: when upstreams asked to back off, every caller that was refused meanwhile learns
+ * the same end of the back-off. If all callers retried at that time, the upstreams would refuse
+ * them again. Used from one event loop.
  */
 final class ReturnSpread {
-  /** The part of the wait over which returns are spread. */
-  private static final double SPREAD_SHARE = 0.5;
+  /** Maximum jitter as a share of the delay. */
+  private static final double JITTER_SHARE = 0.5;
 
-  /** The least time over which returns are spread: about that in which a place becomes free. */
-  private static final Duration LEAST_SPREAD = Duration.ofMillis(300);
+  /** Minimum range of the jitter: about the time until a connection becomes free. */
+  private static final Duration MINIMUM_JITTER = Duration.ofMillis(300);
 
-  /** The latest moment that callers are told: one they would hardly wait for. */
-  private static final Duration LONGEST_PACED = Duration.ofSeconds(5);
+  /** Maximum paced delay; callers would rarely wait longer. */
+  private static final Duration MAXIMUM_PACED_DELAY = Duration.ofSeconds(5);
 
   private final RandomGenerator random;
   private final IntSupplier instances;
-  private final Map<String, Instant> lastPaced = new HashMap<>();
+  private final Map<String, Instant> lastRetryTimes = new HashMap<>();
 
   private ReturnSpread(RandomGenerator random, IntSupplier instances) {
     this.random = random;
@@ -38,41 +38,43 @@
   }
 
   /**
-   * Returns a spread that draws from the source of chance.
+   * Returns a spread that uses the random generator.
    *
-   * @param instances how many instances refuse callers alike
+   * @param instances supplies the number of instances that refuse callers at the same time
    */
   static ReturnSpread by(RandomGenerator random, IntSupplier instances) {
     return new ReturnSpread(random, instances);
   }
 
   /**
-   * Returns a wait so that callers return to all instances together at the rate that the upstreams
-   * of the service accept, one after the other.
+   * Returns a delay that spaces the retries of callers, so that over all instances they arrive at
+   * the rate that the upstreams of the service accept.
    *
-   * @param perSecond the requests a second that the upstreams accept
+   * @param perSecond the rate that the upstreams accept, in requests per second
    */
   Duration paced(String service, double perSecond, Instant now) {
-    double own =
+    double instanceRate =
         Math.max(SharedRateLimit.PROBES_PER_SECOND, perSecond) / Math.max(1, instances.getAsInt());
-    Duration pause = Duration.ofMillis((long) (1000 / own));
-    Instant soonest = now.plus(LEAST_SPREAD);
-    Instant next = lastPaced.getOrDefault(service, Instant.EPOCH).plus(pause);
-    boolean fits = !next.isBefore(soonest) && !next.isAfter(now.plus(LONGEST_PACED));
-    Instant moment = fits ? next : soonest.plus(drawn(pause));
-    lastPaced.put(service, moment);
-    return Duration.between(now, moment);
+    Duration interval = Duration.ofMillis((long) (1000 / instanceRate));
+    Instant earliest = now.plus(MINIMUM_JITTER);
+    Instant nextRetryTime = lastRetryTimes.getOrDefault(service, Instant.EPOCH).plus(interval);
+    boolean isInRange =
+        !nextRetryTime.isBefore(earliest) && !nextRetryTime.isAfter(now.plus(MAXIMUM_PACED_DELAY));
+    Instant retryTime = isInRange ? nextRetryTime : earliest.plus(randomDelay(interval));
+    lastRetryTimes.put(service, retryTime);
+    return Duration.between(now, retryTime);
   }
 
-  private Duration drawn(Duration pause) {
-    long most = Math.min(pause.toMillis(), LONGEST_PACED.minus(LEAST_SPREAD).toMillis());
-    return Duration.ofMillis((long) (random.nextDouble() * most));
+  private Duration randomDelay(Duration interval) {
+    long maximumMillis =
+        Math.min(interval.toMillis(), MAXIMUM_PACED_DELAY.minus(MINIMUM_JITTER).toMillis());
+    return Duration.ofMillis((long) (random.nextDouble() * maximumMillis));
   }
 
-  /** Returns a moment at or after the end of the wait. */
-  Duration after(Duration wait) {
-    long share = (long) (wait.toMillis() * SPREAD_SHARE);
-    long spread = Math.max(LEAST_SPREAD.toMillis(), share);
-    return wait.plusMillis((long) (random.nextDouble() * spread));
+  /** Returns the delay plus jitter, never less than the delay. */
+  Duration after(Duration delay) {
+    long proportional = (long) (delay.toMillis() * JITTER_SHARE);
+    long jitterMillis = Math.max(MINIMUM_JITTER.toMillis(), proportional);
+    return delay.plusMillis((long) (random.nextDouble() * jitterMillis));
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/StartGate.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/StartGate.java
@@ -10,17 +10,17 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Whether an instance that starts knows enough to serve: the configuration, the orders for
- * versions, and, while a version is brought in, the sessions that the others have seen.
+ * Delays serving until a starting instance has loaded the configuration, the version orders and,
+ * during a roll-out, the sessions that the other instances have seen.
  *
- * <p>One that served as soon as it had a configuration would send sessions to the new version
- * before it knew of the order for it. Invariants: it never closes once it is open; it opens {@link
- * #PATIENCE} after the configuration at the latest, so that a fleet that cannot read the orders
- * serves all the same. Owned by one event loop, not thread-safe.
+ * <p>An instance that served as soon as it had a configuration would send sessions to the new
+ * version before it had read the order for that version. Invariants: the gate never closes once it
+ * is open; it opens at the latest {@link #MAXIMUM_WAIT} after the configuration is in force, so
+ * that a fleet that cannot read the orders still serves. Owned by one event loop, not thread-safe.
  */
 public final class StartGate {
-  /** Longer than orders and sessions take to be read from the store or from other instances. */
-  private static final Duration PATIENCE = Duration.ofSeconds(3);
+  /** Exceeds the time to read orders and sessions from the store or from other instances. */
+  private static final Duration MAXIMUM_WAIT = Duration.ofSeconds(3);
 
   private final InstantSource clock;
   private final BooleanSupplier configured;
@@ -41,11 +41,12 @@
   }
 
   /**
-   * Returns a gate that is closed.
+   * Returns a closed gate.
    *
    * @param configured whether a configuration is in force
-   * @param ordersRead whether all kinds of objects were read
-   * @param sessionsKnown whether no version is brought in, or the sessions of others are known
+   * @param ordersRead whether all kinds of objects have been read
+   * @param sessionsKnown whether no roll-out is running or the sessions of other instances are
+   *     known
    */
   public static StartGate create(
       InstantSource clock,
@@ -55,20 +56,20 @@
     return new StartGate(clock, configured, ordersRead, sessionsKnown);
   }
 
-  /** Returns whether the instance serves. */
+  /** Returns whether the instance may serve. */
   public boolean isOpen() {
     return open;
   }
 
-  /** Looks whether the instance knows enough by now; returns whether that opened the gate. */
+  /** Checks the conditions and returns whether this call opened the gate. */
   public boolean opens() {
     if (open || !configured.getAsBoolean()) {
       return false;
     }
     Instant now = clock.instant();
     configuredAt = configuredAt.or(() -> Optional.of(now));
-    boolean knows = ordersRead.getAsBoolean() && sessionsKnown.getAsBoolean();
-    open = knows || now.isAfter(configuredAt.get().plus(PATIENCE));
+    boolean loaded = ordersRead.getAsBoolean() && sessionsKnown.getAsBoolean();
+    open = loaded || now.isAfter(configuredAt.get().plus(MAXIMUM_WAIT));
     return open;
   }
 }
