--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayDecisionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayDecisionTest.java
@@ -47,10 +47,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Shows the decisions about routes, upstreams, models and retries by themselves. */
+/** Unit tests of the decisions about routes, upstreams, models and retries. */
 public class GatewayDecisionTest {
-  /** How long the largest model is expected to take to begin its answer. */
-  private static final Duration EXPECTED = Duration.ofMillis(100);
+  /** The forecast time to the response head of the largest model. */
+  private static final Duration EXPECTED_HEAD_TIME = Duration.ofMillis(100);
 
   private Instant now = Instant.parse("2026-12-02T12:00:00Z");
   private final InstantSource clock = () -> now;
@@ -63,7 +63,7 @@
     revision = 0;
   }
 
-  /** Returns a route of streams that a cascade of three models answers. */
+  /** Returns a streaming route with a cascade of three models. */
   static Route route(String host, String prefix) {
     return route(host, prefix, 2000);
   }
@@ -117,18 +117,19 @@
             Optional.of(List.of(new WorkspaceKeys("desk", List.of(key), Optional.of(2))))));
   }
 
-  private static Generation generation(int read, int made, long... parts) {
+  private static Generation generation(int promptTokens, int outputTokens, long... parts) {
     List<PromptPart> prompt =
         Arrays.stream(parts).mapToObj(part -> new PromptPart(part, 100)).toList();
-    return new Generation("*", read, made, prompt, OptionalInt.empty());
+    return new Generation("*", promptTokens, outputTokens, prompt, OptionalInt.empty());
   }
 
-  private UpstreamSelection.Wanted wanted(Optional<VersionRule.Wish> wish, Set<String> excluded) {
+  private UpstreamSelection.Wanted criteria(
+      Optional<VersionRule.Wish> constraint, Set<String> excluded) {
     return new UpstreamSelection.Wanted(
-        "pool", wish, Optional.empty(), Optional.empty(), 0, excluded, false);
+        "pool", constraint, Optional.empty(), Optional.empty(), 0, excluded, false);
   }
 
-  private RateGate openGate() {
+  private RateGate unlimitedGate() {
     return gate(AdvertisedLimits.create(clock), RateSenders.alone());
   }
 
@@ -139,16 +140,17 @@
     return RateGate.create(tables, bounds, limits, senders);
   }
 
-  /** Callers of a service with free places soon were told the long wait of its limited upstream. */
+  /** A connection becomes free soon; callers must not get the long delay of a limited upstream. */
   @Test
-  public void testFullUpstreamsDoNotLookLimited() {
+  public void testFullUpstreamsAreNotReportedAsLimited() {
     configuration(1, "key");
     upstream("i-1", "here", "v1", false);
     upstream("i-2", "here", "v1", false);
     AdvertisedLimits limits = AdvertisedLimits.create(clock);
     limits.advertised(tables.row("i-1").process(), 1);
-    RateSenders others = new RateSenders(SenderSelection.ALONE, (upstream, zone, most, turn) -> 0);
-    UpstreamStanding standing = UpstreamStanding.of(tables, gate(limits, others));
+    RateSenders noOtherSenders =
+        new RateSenders(SenderSelection.ALONE, (upstream, zone, most, turn) -> 0);
+    UpstreamStanding standing = UpstreamStanding.of(tables, gate(limits, noOtherSenders));
     for (int connection = 0; connection < 100; connection++) {
       tables.row("i-2").reserve();
     }
@@ -167,18 +169,20 @@
         EngineSpeeds.create(),
         OpenReading.create(),
         ZoneReach.create(),
-        openGate(),
+        unlimitedGate(),
         unused -> false,
         new Random(1));
   }
 
-  private Optional<String> choose(Optional<VersionRule.Wish> wish, Set<String> excluded) {
+  private Optional<String> choose(Optional<VersionRule.Wish> constraint, Set<String> excluded) {
     UpstreamSelection selection = selection();
-    return selection.choose(wanted(wish, excluded), now).map(UpstreamSelection.Chosen::name);
+    return selection
+        .choose(criteria(constraint, excluded), now)
+        .map(UpstreamSelection.Chosen::name);
   }
 
   @Test
-  public void testLongestPrefixOfTheHostCounts() {
+  public void testLongestPrefixOfTheHostIsSelected() {
     configuration(1, "k");
     assertEquals(tables.routes().find("A", "/x/y/z").orElseThrow().name(), "a/x/y/");
     assertEquals(tables.routes().find("a", "/x/z").orElseThrow().name(), "a/x/");
@@ -188,7 +192,7 @@
   }
 
   @Test
-  public void testUpstreamWithoutConnectionLeftIsNotChosen() {
+  public void testUpstreamWithoutFreeConnectionIsNotSelected() {
     configuration(1, "k");
     upstream("i-1", "here", "v1", false);
     tables.loads().report("i-1", 40, 60, false);
@@ -202,7 +206,7 @@
   }
 
   @Test
-  public void testBodiesAreHeldWithinTheirBound() {
+  public void testBodiesAreHeldWithinTheMemoryLimit() {
     HeldBytes held = HeldBytes.within(100);
     assertTrue(held.take(60));
     assertFalse(held.take(41));
@@ -212,7 +216,7 @@
   }
 
   @Test
-  public void testLateConfigurationBringsNoRevokedKeyBack() {
+  public void testStaleConfigurationDoesNotRestoreRevokedKey() {
     configuration(1, "old");
     StoredObject first = tables.join().get(ObjectKey.valueOf(GatewayKinds.ROUTING, "main")).get();
     configuration(2, "new");
@@ -222,7 +226,7 @@
   }
 
   @Test
-  public void testTombstoneOfTheSameRevisionCounts() {
+  public void testTombstoneOfTheSameRevisionWins() {
     upstream("i-1", "here", "v1", false);
     ObjectKey key = ObjectKey.valueOf(GatewayKinds.UPSTREAM, "i-1");
     tables.mergeAll(
@@ -234,20 +238,21 @@
   }
 
   @Test
-  public void testEntryThatCannotBeReadNamesNoUpstreamAndOthersHold() {
+  public void testInvalidEntryRemovesOnlyItsUpstream() {
     upstream("i-1", "here", "v1", false);
     upstream("i-2", "here", "v1", false);
     put(GatewayKinds.UPSTREAM, "i-1", Kinds.unusable("address is missing"));
     assertEquals(tables.upstreamsOf("pool"), List.of("i-2"));
     assertTrue(tables.upstream("i-1").isEmpty());
-    assertTrue(tables.isLeaving("i-1"), "nothing more is sent there");
+    assertTrue(
+        tables.isLeaving("i-1"), "an upstream without a valid entry must not receive requests");
     assertEquals(choose(Optional.empty(), Set.of()), Optional.of("i-2"));
     upstream("i-1", "here", "v2", false);
     assertEquals(tables.upstream("i-1").orElseThrow().version(), "v2");
   }
 
   @Test
-  public void testUpstreamOfOwnZoneGoesFirstAndLeavingOnesAreOut() {
+  public void testLocalZoneIsPreferredAndLeavingUpstreamsAreExcluded() {
     upstream("i-1", "there", "v1", false);
     assertEquals(choose(Optional.empty(), Set.of()), Optional.of("i-1"));
     upstream("i-2", "here", "v1", false);
@@ -259,7 +264,7 @@
   }
 
   @Test
-  public void testLoadedUpstreamOfOwnZoneGivesWay() {
+  public void testOtherZoneIsSelectedWhenLocalUpstreamIsLoaded() {
     upstream("i-1", "here", "v1", false);
     upstream("i-2", "there", "v1", false);
     tables.loads().report("i-1", 8, 30, false);
@@ -267,10 +272,10 @@
   }
 
   @Test
-  public void testUpstreamThatFailsOftenIsAskedLess() {
+  public void testUpstreamWithManyFailuresIsSelectedLess() {
     upstream("i-1", "here", "v1", false);
     upstream("i-2", "here", "v1", false);
-    for (int answer = 0; answer < 10; answer++) {
+    for (int response = 0; response < 10; response++) {
       tables.loads().row("i-1").failed(now);
       tables.loads().row("i-1").succeeded(now);
       tables.loads().row("i-2").succeeded(now);
@@ -278,23 +283,26 @@
     tables.loads().report("i-2", 6, 0, false);
     assertEquals(choose(Optional.empty(), Set.of()), Optional.of("i-2"));
     now = now.plusSeconds(30);
-    assertEquals(choose(Optional.empty(), Set.of()), Optional.of("i-1"), "it is tried again");
+    assertEquals(
+        choose(Optional.empty(), Set.of()),
+        Optional.of("i-1"),
+        "the upstream is selected again after its failures have decayed");
   }
 
   @Test
-  public void testStrictWishIsKeptAndOtherWishesGiveWay() {
+  public void testRequiredVersionIsEnforcedAndPreferredVersionIsNot() {
     upstream("i-1", "here", "v1", false);
-    VersionRule.Wish soft =
+    VersionRule.Wish preferred =
         new VersionRule.Wish("v2", true, VersionRule.Firmness.PREFERRED, Optional.empty());
-    assertEquals(choose(Optional.of(soft), Set.of()), Optional.of("i-1"));
-    VersionRule.Wish notOld =
+    assertEquals(choose(Optional.of(preferred), Set.of()), Optional.of("i-1"));
+    VersionRule.Wish notV1 =
         new VersionRule.Wish("v1", false, VersionRule.Firmness.REQUIRED, Optional.empty());
-    assertEquals(choose(Optional.of(notOld), Set.of()), Optional.empty());
+    assertEquals(choose(Optional.of(notV1), Set.of()), Optional.empty());
   }
 
-  /** A session that is at a version is refused rather than moved, while that version lives. */
+  /** A session is refused rather than moved to another version while its version has upstreams. */
   @Test
-  public void testKeptWishGivesWayOnceNoneOfTheVersionIsLeft() {
+  public void testKeptVersionIsReplacedOnceItHasNoUpstreams() {
     upstream("i-1", "here", "v1", false);
     upstream("i-2", "here", "v2", false);
     VersionRule.Wish kept =
@@ -306,13 +314,13 @@
   }
 
   @Test
-  public void testPromptIsReadAgainWhereItWasRead() {
+  public void testPromptGoesToTheUpstreamThatCachesIt() {
     upstream("i-1", "here", "v1", false);
     upstream("i-2", "here", "v1", false);
-    Generation text = generation(50_000, 10, 7, 8);
+    Generation generation = generation(50_000, 10, 7, 8);
     UpstreamSelection.recordPrompt(tables.loads().row("i-2"), "m", generation(1, 1, 7));
     UpstreamSelection selection = selection();
-    UpstreamSelection.Wanted wanted =
+    UpstreamSelection.Wanted criteria =
         new UpstreamSelection.Wanted(
             "pool",
             Optional.empty(),
@@ -323,39 +331,45 @@
             100,
             Set.of(),
             false);
-    assertEquals(selection.choose(wanted, now).orElseThrow().name(), "i-2");
-    assertEquals(text.prompt().size(), 2);
+    assertEquals(selection.choose(criteria, now).orElseThrow().name(), "i-2");
+    assertEquals(generation.prompt().size(), 2);
   }
 
-  /** The upstream that an instance of the zone sends the prompt to, with engines of a speed. */
-  private String placed(String zone, double millisPerToken, OpenReading reading, ZoneReach zones) {
+  /** Returns the upstream that an instance in the zone selects for a prompt at a prefill speed. */
+  private String selectedInZone(
+      String zone, double millisPerToken, OpenReading reading, ZoneReach zones) {
     EngineSpeeds speeds = EngineSpeeds.create();
     speeds.heard("m", new ReadingLine(20, millisPerToken));
     UpstreamSelection selection =
         UpstreamSelection.create(
-            zone, tables, speeds, reading, zones, openGate(), unused -> false, new Random(1));
+            zone, tables, speeds, reading, zones, unlimitedGate(), unused -> false, new Random(1));
     List<PromptPart> parts = List.of(new PromptPart(7, 13_000), new PromptPart(8, 4000));
-    Generation text = new Generation("*", 17_000, 300, parts, OptionalInt.empty());
-    UpstreamSelection.Wanted wanted =
+    Generation generation = new Generation("*", 17_000, 300, parts, OptionalInt.empty());
+    UpstreamSelection.Wanted criteria =
         new UpstreamSelection.Wanted(
-            "pool", Optional.empty(), Optional.of("m"), Optional.of(text), 17_000, Set.of(), false);
-    return selection.choose(wanted, now).orElseThrow().name();
+            "pool",
+            Optional.empty(),
+            Optional.of("m"),
+            Optional.of(generation),
+            17_000,
+            Set.of(),
+            false);
+    return selection.choose(criteria, now).orElseThrow().name();
   }
 
   /**
-   * Half of the upstreams refuse most of what they get, without asking for rest. A refusal was
-   * forgotten, so they were chosen as often as the others, and 2,056 of 5,393 arrivals were
-   * refused.
+   * Half of the upstreams refuse all requests without asking to back off. Guards against refusals
+   * that are not recorded, so that these upstreams are selected as often as the others.
    */
   @Test
-  public void testUpstreamsThatRefuseAreAskedLessAndNotKeptOut() {
+  public void testRefusingUpstreamsAreSelectedLessButNotEjected() {
     upstreamsOfThreeZones();
     List<String> all = List.copyOf(tables.upstreamsOf("pool"));
     Set<String> refusing = Set.copyOf(all.subList(0, all.size() / 2));
     UpstreamSelection selection = selection();
     int refusals = 0;
     for (int round = 0; round < 400; round++) {
-      var chosen = selection.choose(wanted(Optional.empty(), Set.of()), now).orElseThrow();
+      var chosen = selection.choose(criteria(Optional.empty(), Set.of()), now).orElseThrow();
       if (refusing.contains(chosen.name())) {
         refusals++;
         chosen.row().refused(now);
@@ -364,7 +378,7 @@
         chosen.row().succeeded(now);
       }
     }
-    assertTrue(refusals < 40, refusals + " of 400 refused");
+    assertTrue(refusals < 40, refusals + " of 400 requests refused");
   }
 
   private void upstreamsOfThreeZones() {
@@ -376,57 +390,59 @@
   }
 
   @Test
-  public void testSharedPartHasOneHomeWhereReadingItAgainTakesLong() {
+  public void testSharedPrefixHasOneHomeForAllZonesIfPrefillIsSlow() {
     upstreamsOfThreeZones();
-    Set<String> slow = new HashSet<>();
-    Set<String> quick = new HashSet<>();
+    Set<String> homesAtSlowPrefill = new HashSet<>();
+    Set<String> homesAtFastPrefill = new HashSet<>();
     for (String zone : List.of("a", "b", "c")) {
-      slow.add(placed(zone, 0.2, OpenReading.create(), ZoneReach.create()));
-      String near = placed(zone, 0.008, OpenReading.create(), ZoneReach.create());
-      assertTrue(near.startsWith("i-" + zone), near + " for " + zone);
-      quick.add(near);
+      homesAtSlowPrefill.add(selectedInZone(zone, 0.2, OpenReading.create(), ZoneReach.create()));
+      String home = selectedInZone(zone, 0.008, OpenReading.create(), ZoneReach.create());
+      assertTrue(home.startsWith("i-" + zone), home + " for " + zone);
+      homesAtFastPrefill.add(home);
     }
-    assertEquals(slow.size(), 1, "homes " + slow);
-    assertEquals(quick.size(), 3, "one home a zone");
+    assertEquals(homesAtSlowPrefill.size(), 1, "homes " + homesAtSlowPrefill);
+    assertEquals(homesAtFastPrefill.size(), 3, "one home per zone at fast prefill");
   }
 
   @Test
-  public void testHomeThatIsBusyOrCutOffGivesWay() {
+  public void testBusyOrUnreachableHomeIsNotSelected() {
     upstreamsOfThreeZones();
-    String home = placed("a", 0.2, OpenReading.create(), ZoneReach.create());
+    String home = selectedInZone("a", 0.2, OpenReading.create(), ZoneReach.create());
     OpenReading reading = OpenReading.create();
     reading.heard(Map.of(home, 20_000), now);
-    assertNotEquals(placed("a", 0.2, reading, ZoneReach.create()), home);
+    assertNotEquals(selectedInZone("a", 0.2, reading, ZoneReach.create()), home);
     String homeZone = tables.upstream(home).orElseThrow().zone();
-    String away = homeZone.equals("a") ? "b" : "a";
+    String otherZone = homeZone.equals("a") ? "b" : "a";
     ZoneReach zones = ZoneReach.create();
     zones.notReached(homeZone, "i-x", now);
     zones.notReached(homeZone, "i-y", now);
-    String other = placed(away, 0.2, OpenReading.create(), zones);
-    assertNotEquals(tables.upstream(other).orElseThrow().zone(), homeZone);
+    String selected = selectedInZone(otherZone, 0.2, OpenReading.create(), zones);
+    assertNotEquals(tables.upstream(selected).orElseThrow().zone(), homeZone);
   }
 
   @Test
-  public void testAnswerThatMayBeGoodIsTakenWhereReadingAgainDelaysOthers() {
+  public void testUncertainResponseIsAcceptedIfEscalationDelaysOthers() {
     configuration(1, "k");
     AnswerTimes times = AnswerTimes.create(clock);
-    assertEquals(instead(times, 40, 50), OptionalInt.of(2));
-    assertEquals(instead(times, 40, 900), OptionalInt.empty());
-    assertEquals(instead(times, 5, 500), OptionalInt.of(2), "a poor one is not");
+    assertEquals(escalation(times, 40, 50), OptionalInt.of(2));
+    assertEquals(escalation(times, 40, 900), OptionalInt.empty());
+    assertEquals(
+        escalation(times, 5, 500), OptionalInt.of(2), "a response of low confidence is replaced");
   }
 
   @Test
-  public void testRouteWithoutGoalStillGetsBetterAnswers() {
+  public void testEscalationOnRouteWithoutGoal() {
     configuration(1, "k");
     Route withoutGoal = route("a", "/x/", 0);
-    assertEquals(instead(withoutGoal, AnswerTimes.create(clock), 0, 300), OptionalInt.of(2));
+    assertEquals(escalation(withoutGoal, AnswerTimes.create(clock), 0, 300), OptionalInt.of(2));
   }
 
-  private OptionalInt instead(AnswerTimes times, int confidence, int readingMillis) {
-    return instead(route("a", "/x/"), times, confidence, readingMillis);
+  private OptionalInt escalation(AnswerTimes times, int confidence, int prefillMillis) {
+    return escalation(route("a", "/x/"), times, confidence, prefillMillis);
   }
 
-  private OptionalInt instead(Route route, AnswerTimes times, int confidence, int readingMillis) {
+  private OptionalInt escalation(
+      Route route, AnswerTimes times, int confidence, int prefillMillis) {
     return ExpectedWorth.create(tables, times)
         .insteadOf(
             new StageRule.Poor(
@@ -436,10 +452,10 @@
                 0,
                 confidence,
                 Duration.ofMillis(100),
-                model -> new HeadForecast(0, readingMillis, 1000, true)));
+                model -> new HeadForecast(0, prefillMillis, 1000, true)));
   }
 
-  private OptionalInt instead(AnswerTimes times, int stage, int confidence, long elapsed) {
+  private OptionalInt escalation(AnswerTimes times, int stage, int confidence, long elapsed) {
     Route route = route("a", "/x/");
     ExpectedWorth rule = ExpectedWorth.create(tables, times);
     return rule.insteadOf(
@@ -450,36 +466,37 @@
             stage,
             confidence,
             Duration.ofMillis(elapsed),
-            model -> new HeadForecast(0, EXPECTED.toMillis(), 1000, true)));
+            model -> new HeadForecast(0, EXPECTED_HEAD_TIME.toMillis(), 1000, true)));
   }
 
   @Test
-  public void testPoorAnswerIsReplacedOnlyWhileThatIsWorthMore() {
+  public void testPoorResponseIsReplacedOnlyIfEscalationHasHigherValue() {
     configuration(1, "k");
     AnswerTimes times = AnswerTimes.create(clock);
-    assertEquals(instead(times, 0, 10, 100), OptionalInt.of(2));
-    assertEquals(instead(times, 0, 90, 100), OptionalInt.empty());
-    assertEquals(instead(times, 2, 10, 100), OptionalInt.empty());
-    AnswerTimes.Key slow = new AnswerTimes.Key(route("a", "/x/"), "large", EXPECTED);
-    for (int answer = 0; answer < 200; answer++) {
-      times.recordHeadTime(slow, Duration.ofMillis(5000));
+    assertEquals(escalation(times, 0, 10, 100), OptionalInt.of(2));
+    assertEquals(escalation(times, 0, 90, 100), OptionalInt.empty());
+    assertEquals(escalation(times, 2, 10, 100), OptionalInt.empty());
+    AnswerTimes.Key slowKey = new AnswerTimes.Key(route("a", "/x/"), "large", EXPECTED_HEAD_TIME);
+    for (int response = 0; response < 200; response++) {
+      times.recordHeadTime(slowKey, Duration.ofMillis(5000));
     }
-    assertEquals(instead(times, 0, 45, 100), OptionalInt.empty(), "a late answer is worth less");
+    assertEquals(
+        escalation(times, 0, 45, 100), OptionalInt.empty(), "a late response has a lower value");
   }
 
   @Test
-  public void testPatienceGrowsWithThePromptAndWithSlowAnswers() {
+  public void testHeadTimeoutGrowsWithPromptAndSlowResponses() {
     AnswerTimes times = AnswerTimes.create(clock);
     Route route = route("a", "/x/");
-    AnswerTimes.Key small = new AnswerTimes.Key(route, "large", Duration.ofMillis(200));
-    AnswerTimes.Key large = new AnswerTimes.Key(route, "large", Duration.ofSeconds(30));
-    assertEquals(times.headTimeout(small), Duration.ofMillis(2500));
-    for (int answer = 0; answer < 100; answer++) {
-      times.recordHeadTime(small, Duration.ofMillis(300));
+    AnswerTimes.Key smallPrompt = new AnswerTimes.Key(route, "large", Duration.ofMillis(200));
+    AnswerTimes.Key largePrompt = new AnswerTimes.Key(route, "large", Duration.ofSeconds(30));
+    assertEquals(times.headTimeout(smallPrompt), Duration.ofMillis(2500));
+    for (int response = 0; response < 100; response++) {
+      times.recordHeadTime(smallPrompt, Duration.ofMillis(300));
     }
-    assertTrue(times.headTimeout(large).compareTo(Duration.ofSeconds(25)) > 0);
-    assertTrue(times.probabilityOfHeadWithin(small, Duration.ofMillis(1500)) > 0.9);
-    assertTrue(times.probabilityOfHeadWithin(large, Duration.ofMillis(1500)) < 0.1);
+    assertTrue(times.headTimeout(largePrompt).compareTo(Duration.ofSeconds(25)) > 0);
+    assertTrue(times.probabilityOfHeadWithin(smallPrompt, Duration.ofMillis(1500)) > 0.9);
+    assertTrue(times.probabilityOfHeadWithin(largePrompt, Duration.ofMillis(1500)) < 0.1);
   }
 
   @Test
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/LeavingUpstreamTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/LeavingUpstreamTest.java
@@ -18,13 +18,11 @@
 import org.testng.annotations.Test;
 
 /**
- * A request that was chosen an upstream which leaves before the connection to it is open.
+ * Tests requests whose selected upstream becomes unavailable before the connection to it is open.
  *
- * <p>Symptom: requests reached upstreams that had said that they leave. Sequence: the choice, then
- * the news, then the connection opens (up to 400 ms, or longer in a process that stood still), then
- * the request is written. Cause: nothing looked at the entry again between the choice and the
- * write. Found by reading; before the repair the first test saw the request at the upstream that
- * leaves, with the line "is sent though the upstream leaves".
+ * <p>Guards against requests that reach an upstream after it has announced that it is leaving.
+ * Opening a connection may take 400 ms, or longer if the process is suspended, so the upstream may
+ * leave between its selection and the write. The request must be checked again before the write.
  */
 public class LeavingUpstreamTest {
   private static final String NEAR = "near";
@@ -54,34 +52,34 @@
   }
 
   @Test
-  public void testRequestGoesElsewhereWhenItsUpstreamLeavesBeforeItIsWritten() throws Exception {
+  public void testRequestIsRedirectedWhenItsUpstreamLeavesBeforeTheWrite() throws Exception {
     final UpstreamStandin near = front.addUpstream(NEAR, "hall-a");
     final UpstreamStandin far = front.addUpstream(FAR, "hall-b");
     int port = front.listen();
     front.afterChoice(() -> front.leaves(NEAR));
     assertEquals(send(port).statusCode(), 200);
-    assertEquals(near.arrivals().size(), 0, "at the upstream that leaves");
-    assertEquals(far.arrivals().size(), 1, "at the other one");
+    assertEquals(near.arrivals().size(), 0, "requests at the leaving upstream");
+    assertEquals(far.arrivals().size(), 1, "requests at the other upstream");
   }
 
-  /** An upstream may ask another request for rest while the connection for this one is opened. */
+  /** The upstream may ask to back off while the connection for this request is being opened. */
   @Test
-  public void testRequestGoesElsewhereWhenItsUpstreamWantsRestBeforeItIsWritten() throws Exception {
+  public void testRequestIsRedirectedWhenItsUpstreamBacksOffBeforeTheWrite() throws Exception {
     final UpstreamStandin near = front.addUpstream(NEAR, "hall-a");
     final UpstreamStandin far = front.addUpstream(FAR, "hall-b");
     int port = front.listen();
     front.afterChoice(() -> front.rests(NEAR, Duration.ofMinutes(1)));
     assertEquals(send(port).statusCode(), 200);
-    assertEquals(near.arrivals().size(), 0, "at the upstream that wants rest");
-    assertEquals(far.arrivals().size(), 1, "at the other one");
+    assertEquals(near.arrivals().size(), 0, "requests at the upstream that asked to back off");
+    assertEquals(far.arrivals().size(), 1, "requests at the other upstream");
   }
 
   @Test
-  public void testRequestIsRefusedAsNotRunWhenNoOtherUpstreamIsLeft() throws Exception {
+  public void testRequestIsRefusedAsNotRunWithoutAnotherUpstream() throws Exception {
     final UpstreamStandin near = front.addUpstream(NEAR, "hall-a");
     int port = front.listen();
     front.afterChoice(() -> front.leaves(NEAR));
     assertEquals(send(port).statusCode(), 503);
-    assertEquals(near.arrivals().size(), 0, "at the upstream that leaves");
+    assertEquals(near.arrivals().size(), 0, "requests at the leaving upstream");
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/NewStartTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/NewStartTest.java
@@ -26,12 +26,11 @@
 import org.testng.annotations.Test;
 
 /**
- * Shows that what was learned of an upstream ends with its process, also where the next one has the
- * same name.
+ * Tests that the observed state of an upstream ends with its process, even if the next process has
+ * the same name.
  *
- * <p>Symptom: prompts were sent to where they were taken to be kept, and a process that had just
- * started was kept out for the failures of the one before. Cause: all that is learned was kept by
- * the name alone.
+ * <p>Guards against state that is keyed by the name alone: prompts are then sent to a restarted
+ * process as if it still cached them, and it is ejected for the failures of its predecessor.
  */
 public class NewStartTest {
   private static final String NAME = "i-1";
@@ -61,8 +60,8 @@
     return tables.row(NAME);
   }
 
-  /** Gives the row all that is learned of an upstream. */
-  private void teach(UpstreamRow row) {
+  /** Records every kind of observed state in the row. */
+  private void recordState(UpstreamRow row) {
     row.rememberPrefix(7);
     row.markLeaving();
     row.reserve();
@@ -72,86 +71,86 @@
     }
   }
 
-  private void assertKnowsNothing(UpstreamRow row) {
-    assertFalse(row.hasPrefix(7), "kept parts");
+  private void assertInitialState(UpstreamRow row) {
+    assertFalse(row.hasPrefix(7), "cached prefixes");
     assertFalse(row.leaving(), "leaving");
-    assertFalse(row.ejected(now), "kept out");
+    assertFalse(row.ejected(now), "ejected");
     assertEquals(row.failureShare(now), 0.0);
     assertEquals(row.inFlight(), 0);
     assertEquals(row.expectedLoad(), 0);
   }
 
   @Test
-  public void testNewStartUnderTheSameNameKnowsNothing() {
-    UpstreamRow before = rowAfter(record().startedAt(1000));
-    teach(before);
-    UpstreamRow after = rowAfter(record().startedAt(2000));
-    assertNotSame(after, before);
-    assertKnowsNothing(after);
-    assertNotEquals(after.process(), before.process());
+  public void testNewStartUnderTheSameNameResetsState() {
+    UpstreamRow earlier = rowAfter(record().startedAt(1000));
+    recordState(earlier);
+    UpstreamRow later = rowAfter(record().startedAt(2000));
+    assertNotSame(later, earlier);
+    assertInitialState(later);
+    assertNotEquals(later.process(), earlier.process());
   }
 
   @Test
-  public void testStartBehindTheEarlierOneIsAnotherStartToo() {
-    teach(rowAfter(record().startedAt(2000)));
-    assertKnowsNothing(rowAfter(record().startedAt(1000)));
+  public void testEarlierStartTimeIsAnotherStart() {
+    recordState(rowAfter(record().startedAt(2000)));
+    assertInitialState(rowAfter(record().startedAt(1000)));
   }
 
   @Test
-  public void testEntryThatLapsedAndCameBackIsJudgedByItsStart() {
-    UpstreamRow before = rowAfter(record().startedAt(1000));
-    teach(before);
+  public void testExpiredAndRestoredEntryIsIdentifiedByItsStart() {
+    UpstreamRow earlier = rowAfter(record().startedAt(1000));
+    recordState(earlier);
     ObjectKey key = ObjectKey.valueOf(GatewayKinds.UPSTREAM, NAME);
     tables.mergeAll(
         List.of(StoredObject.of(key, StoreRevision.ofNumber(++revision), Kinds.tombstone())));
-    assertSame(rowAfter(record().startedAt(1000)), before, "the same process came back");
+    assertSame(rowAfter(record().startedAt(1000)), earlier, "the same process is registered again");
     tables.mergeAll(
         List.of(StoredObject.of(key, StoreRevision.ofNumber(++revision), Kinds.tombstone())));
-    assertKnowsNothing(rowAfter(record().startedAt(3000)));
+    assertInitialState(rowAfter(record().startedAt(3000)));
   }
 
   @Test
-  public void testLateEntryOfTheEarlierStartChangesNothing() {
-    StoredObject early = stored(record().startedAt(1000));
-    tables.mergeAll(List.of(early));
-    UpstreamRow after = rowAfter(record().startedAt(2000));
-    after.rememberPrefix(7);
-    tables.mergeAll(List.of(early));
-    assertSame(tables.row(NAME), after);
-    assertTrue(after.hasPrefix(7));
+  public void testStaleEntryOfTheEarlierStartChangesNothing() {
+    StoredObject earlierEntry = stored(record().startedAt(1000));
+    tables.mergeAll(List.of(earlierEntry));
+    UpstreamRow later = rowAfter(record().startedAt(2000));
+    later.rememberPrefix(7);
+    tables.mergeAll(List.of(earlierEntry));
+    assertSame(tables.row(NAME), later);
+    assertTrue(later.hasPrefix(7));
   }
 
   @Test
-  public void testEntryWithoutStartIsJudgedAsBefore() {
-    UpstreamRow before = rowAfter(record());
-    before.rememberPrefix(7);
-    assertSame(rowAfter(record()), before);
-    assertSame(rowAfter(record().startedAt(1000)), before, "its start is told now");
-    assertSame(rowAfter(record()), before, "and then no more");
-    assertTrue(before.hasPrefix(7));
+  public void testEntryWithoutStartKeepsState() {
+    UpstreamRow earlier = rowAfter(record());
+    earlier.rememberPrefix(7);
+    assertSame(rowAfter(record()), earlier);
+    assertSame(rowAfter(record().startedAt(1000)), earlier, "the start time becomes known");
+    assertSame(rowAfter(record()), earlier, "the start time is omitted again");
+    assertTrue(earlier.hasPrefix(7));
   }
 
   @Test
-  public void testLateReportAndAnswerOfTheEarlierStartAreNotTheNewOnes() {
-    UpstreamRow before = rowAfter(record().startedAt(1000));
-    before.reserve();
-    final UpstreamRow after = rowAfter(record().startedAt(2000));
-    tables.loads().report(before, 8, 30, true);
-    before.release();
-    before.failed(now);
-    assertKnowsNothing(after);
+  public void testLateReportAndResponseOfTheEarlierStartAreIgnored() {
+    UpstreamRow earlier = rowAfter(record().startedAt(1000));
+    earlier.reserve();
+    final UpstreamRow later = rowAfter(record().startedAt(2000));
+    tables.loads().report(earlier, 8, 30, true);
+    earlier.release();
+    earlier.failed(now);
+    assertInitialState(later);
   }
 
   @Test
-  public void testWhatPeersToldOfTheEarlierStartIsNotBelievedOfTheNewOne() {
-    UpstreamRow before = rowAfter(record().startedAt(1000));
+  public void testPeerReportsOfTheEarlierStartDoNotApplyToTheNewOne() {
+    UpstreamRow earlier = rowAfter(record().startedAt(1000));
     OpenReading reading = OpenReading.create();
-    reading.begin(before.process(), 100);
-    reading.heard(Map.of(before.process(), 5000), now);
-    UpstreamRow after = rowAfter(record().startedAt(2000));
-    assertEquals(reading.waitingMillis(after.process(), now), 0.0);
-    reading.begin(after.process(), 30);
-    reading.end(before.process(), 100);
-    assertEquals(reading.waitingMillis(after.process(), now), 30.0);
+    reading.begin(earlier.process(), 100);
+    reading.heard(Map.of(earlier.process(), 5000), now);
+    UpstreamRow later = rowAfter(record().startedAt(2000));
+    assertEquals(reading.waitingMillis(later.process(), now), 0.0);
+    reading.begin(later.process(), 30);
+    reading.end(earlier.process(), 100);
+    assertEquals(reading.waitingMillis(later.process(), now), 30.0);
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/StartGateTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/StartGateTest.java
@@ -9,7 +9,7 @@
 import java.time.Instant;
 import org.testng.annotations.Test;
 
-/** Shows when an instance that starts begins to serve. */
+/** Tests the conditions under which a starting instance begins to serve. */
 public class StartGateTest {
   private Instant now = Instant.parse("2026-12-02T12:00:00Z");
   private boolean configured;
@@ -21,7 +21,7 @@
   }
 
   @Test
-  public void testAllThreeAreNeeded() {
+  public void testAllThreeConditionsAreRequired() {
     final StartGate gate = gate();
     ordersRead = true;
     sessionsKnown = true;
@@ -31,16 +31,16 @@
     assertFalse(gate.opens());
     sessionsKnown = true;
     assertTrue(gate.opens());
-    assertFalse(gate.opens(), "it opens once");
+    assertFalse(gate.opens(), "the gate opens only once");
     sessionsKnown = false;
-    assertTrue(gate.isOpen(), "it stays open");
+    assertTrue(gate.isOpen(), "the gate stays open");
   }
 
   @Test
-  public void testFleetThatCannotReadTheOrdersServesAllTheSame() {
+  public void testGateOpensAfterMaximumWaitWithoutOrders() {
     StartGate gate = gate();
     now = now.plusSeconds(60);
-    assertFalse(gate.opens(), "nothing can be served without a configuration");
+    assertFalse(gate.opens(), "an instance cannot serve without a configuration");
     configured = true;
     assertFalse(gate.opens());
     now = now.plusSeconds(4);
