--- a/org.oatlug.test/tst/org/oatlug/internal/crash/CrashLedgerTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/crash/CrashLedgerTest.java
@@ -20,16 +20,16 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What is held against a request under which upstreams ended, and for how long. */
+/** Tests the verdicts on requests that crash upstreams, and when they expire. */
 public class CrashLedgerTest {
-  private static final String GUILTY = fingerprint("guilty");
+  private static final String CRASHING = fingerprint("guilty");
   private static final Duration RUN = Duration.ofMillis(50);
 
   private VirtualTime time;
   private CrashLedger ledger;
 
   @BeforeMethod
-  void begin() {
+  void setUp() {
     time = new VirtualTime();
     ledger = CrashLedger.create(time);
   }
@@ -38,130 +38,130 @@
     return RequestFingerprint.of("host", "/", "", body.getBytes(StandardCharsets.UTF_8));
   }
 
-  private void endsUnder(CrashLedger seer, String request, String process) {
+  private void crashUpstream(CrashLedger observer, String request, String process) {
     Instant began = time.instant();
     time.run(RUN);
-    seer.upstreamEnded(request, "", process, began, time.instant());
+    observer.upstreamEnded(request, "", process, began, time.instant());
   }
 
-  private void endsUnder(String request, int count) {
+  private void crashUpstream(String request, int count) {
     for (int number = 0; number < count; number++) {
-      endsUnder(ledger, request, "i-" + number);
+      crashUpstream(ledger, request, "i-" + number);
     }
   }
 
-  private static void tell(CrashLedger from, CrashLedger to) {
+  private static void replicate(CrashLedger from, CrashLedger to) {
     to.merge(from.after(0).records(), "another");
   }
 
   @Test
-  public void testThreeEndsInTurnAreTooMany() {
-    endsUnder(GUILTY, 1);
-    assertEquals(ledger.verdict(GUILTY), Verdict.CLEAR);
-    assertTrue(ledger.isSuspectAfter(GUILTY, "i-1"), "one more would be the second");
-    endsUnder(GUILTY, 2);
-    assertEquals(ledger.verdict(GUILTY), Verdict.SUSPECT);
-    endsUnder(GUILTY, 3);
-    assertEquals(ledger.verdict(GUILTY), Verdict.REFUSED);
-    assertEquals(ledger.ended(GUILTY), List.of("i-0", "i-1", "i-2"));
+  public void testRequestIsRefusedAfterThreeConsecutiveCrashes() {
+    crashUpstream(CRASHING, 1);
+    assertEquals(ledger.verdict(CRASHING), Verdict.CLEAR);
+    assertTrue(ledger.isSuspectAfter(CRASHING, "i-1"), "the next crash would be the second");
+    crashUpstream(CRASHING, 2);
+    assertEquals(ledger.verdict(CRASHING), Verdict.SUSPECT);
+    crashUpstream(CRASHING, 3);
+    assertEquals(ledger.verdict(CRASHING), Verdict.REFUSED);
+    assertEquals(ledger.ended(CRASHING), List.of("i-0", "i-1", "i-2"));
   }
 
   @Test
-  public void testEndsAtTheSameMomentCountOnce() {
+  public void testSimultaneousCrashesCountOnce() {
     Instant began = time.instant();
     time.run(RUN);
     for (int number = 0; number < 6; number++) {
-      ledger.upstreamEnded(GUILTY, "", "i-" + number, began, time.instant());
+      ledger.upstreamEnded(CRASHING, "", "i-" + number, began, time.instant());
     }
-    assertEquals(ledger.verdict(GUILTY), Verdict.SUSPECT);
+    assertEquals(ledger.verdict(CRASHING), Verdict.SUSPECT);
   }
 
   @Test
-  public void testOneStartCountsOnceHoweverOftenItIsTold() {
+  public void testUpstreamProcessCountsOnceHoweverOftenReported() {
     for (int round = 0; round < 5; round++) {
-      endsUnder(ledger, GUILTY, "i-1");
-      tell(ledger, ledger);
+      crashUpstream(ledger, CRASHING, "i-1");
+      replicate(ledger, ledger);
     }
-    assertEquals(ledger.verdict(GUILTY), Verdict.CLEAR);
+    assertEquals(ledger.verdict(CRASHING), Verdict.CLEAR);
   }
 
   @Test
-  public void testWholeAnswerVoidsWhatWasBefore() {
-    endsUnder(GUILTY, 3);
-    ledger.endedWell(GUILTY);
-    assertEquals(ledger.verdict(GUILTY), Verdict.CLEAR);
+  public void testCompleteResponseClearsEarlierCrashes() {
+    crashUpstream(CRASHING, 3);
+    ledger.endedWell(CRASHING);
+    assertEquals(ledger.verdict(CRASHING), Verdict.CLEAR);
     CrashLedger late = CrashLedger.create(time);
-    tell(ledger, late);
-    assertEquals(late.verdict(GUILTY), Verdict.CLEAR, "who is told of both");
+    replicate(ledger, late);
+    assertEquals(late.verdict(CRASHING), Verdict.CLEAR, "an instance that receives both");
   }
 
-  /** An instance that saw it end well holds nothing of before against it that it hears later. */
+  /** An instance that saw the request complete ignores earlier crashes reported afterwards. */
   @Test
-  public void testWholeAnswerVoidsWhatIsToldAfterwards() {
-    CrashLedger other = CrashLedger.create(time);
+  public void testCompleteResponseClearsCrashesReportedLater() {
+    CrashLedger peer = CrashLedger.create(time);
     for (int number = 0; number < 3; number++) {
-      endsUnder(other, GUILTY, "i-" + number);
+      crashUpstream(peer, CRASHING, "i-" + number);
     }
-    ledger.endedWell(GUILTY);
-    tell(other, ledger);
-    assertEquals(ledger.verdict(GUILTY), Verdict.CLEAR);
-    tell(ledger, other);
-    assertEquals(other.verdict(GUILTY), Verdict.CLEAR);
+    ledger.endedWell(CRASHING);
+    replicate(peer, ledger);
+    assertEquals(ledger.verdict(CRASHING), Verdict.CLEAR);
+    replicate(ledger, peer);
+    assertEquals(peer.verdict(CRASHING), Verdict.CLEAR);
   }
 
   @Test
-  public void testRequestThatEndsUpstreamsAfterItEndedWellIsRefused() {
-    ledger.endedWell(GUILTY);
-    endsUnder(GUILTY, 3);
-    assertEquals(ledger.verdict(GUILTY), Verdict.REFUSED);
+  public void testRequestThatCrashesUpstreamsAfterItCompletedIsRefused() {
+    ledger.endedWell(CRASHING);
+    crashUpstream(CRASHING, 3);
+    assertEquals(ledger.verdict(CRASHING), Verdict.REFUSED);
   }
 
   @Test
-  public void testOldEndsSpeakLess() {
-    endsUnder(GUILTY, 3);
-    Duration lapses = ledger.lapsesAfter(GUILTY);
-    assertTrue(lapses.compareTo(CrashLedger.VALID) <= 0 && !lapses.isNegative());
-    time.run(lapses.plusMillis(1));
-    assertEquals(ledger.verdict(GUILTY), Verdict.SUSPECT);
-    time.run(CrashLedger.VALID);
-    assertEquals(ledger.verdict(GUILTY), Verdict.CLEAR);
+  public void testCrashesExpire() {
+    crashUpstream(CRASHING, 3);
+    Duration remaining = ledger.lapsesAfter(CRASHING);
+    assertTrue(remaining.compareTo(CrashLedger.VALIDITY) <= 0 && !remaining.isNegative());
+    time.run(remaining.plusMillis(1));
+    assertEquals(ledger.verdict(CRASHING), Verdict.SUSPECT);
+    time.run(CrashLedger.VALIDITY);
+    assertEquals(ledger.verdict(CRASHING), Verdict.CLEAR);
     assertTrue(ledger.isEmpty());
   }
 
   @Test
-  public void testNothingIsLeftOfWhatIsTooOldThoughNobodyAsksForIt() {
-    endsUnder(GUILTY, 3);
-    endsUnder(ledger, fingerprint("another"), "i-7");
+  public void testExpiredCrashesAreRemovedWithoutLookup() {
+    crashUpstream(CRASHING, 3);
+    crashUpstream(ledger, fingerprint("another"), "i-7");
     assertFalse(ledger.isEmpty());
-    time.run(CrashLedger.VALID.plusMillis(1));
+    time.run(CrashLedger.VALIDITY.plusMillis(1));
     assertTrue(ledger.isEmpty());
   }
 
   @Test
-  public void testOperatorLetsItRunAgainEverywhere() {
-    endsUnder(GUILTY, 3);
-    CrashLedger other = CrashLedger.create(time);
-    tell(ledger, other);
-    assertEquals(other.verdict(GUILTY), Verdict.REFUSED);
-    assertTrue(other.forget(GUILTY));
-    assertFalse(other.forget(GUILTY), "nothing is left");
-    tell(other, ledger);
-    assertEquals(ledger.verdict(GUILTY), Verdict.CLEAR);
+  public void testOperatorClearsRequestOnAllInstances() {
+    crashUpstream(CRASHING, 3);
+    CrashLedger peer = CrashLedger.create(time);
+    replicate(ledger, peer);
+    assertEquals(peer.verdict(CRASHING), Verdict.REFUSED);
+    assertTrue(peer.forget(CRASHING));
+    assertFalse(peer.forget(CRASHING), "already cleared");
+    replicate(peer, ledger);
+    assertEquals(ledger.verdict(CRASHING), Verdict.CLEAR);
   }
 
   @Test
-  public void testFloodOfRequestsDoesNotPushOutOneUnderWhichSeveralEnded() {
-    endsUnder(GUILTY, 3);
+  public void testFloodOfRequestsDoesNotEvictRequestWithSeveralCrashes() {
+    crashUpstream(CRASHING, 3);
     Instant now = time.instant();
-    for (int number = 0; number < 3 * CrashLedger.MOST_REQUESTS; number++) {
+    for (int number = 0; number < 3 * CrashLedger.MAXIMUM_REQUESTS; number++) {
       ledger.upstreamEnded(fingerprint("flood" + number), "", "i-9", now.minus(RUN), now);
     }
-    assertEquals(ledger.verdict(GUILTY), Verdict.REFUSED);
-    assertTrue(ledger.after(0).records().size() <= CrashLedger.MOST_REQUESTS);
+    assertEquals(ledger.verdict(CRASHING), Verdict.REFUSED);
+    assertTrue(ledger.after(0).records().size() <= CrashLedger.MAXIMUM_REQUESTS);
   }
 
   @Test
-  public void testOrderOfNewsDoesNotMatterAndNewsComeToRest() {
+  public void testMergeOrderDoesNotMatterAndReplicationConverges() {
     for (long seed = 0; seed < 40; seed++) {
       Random random = new Random(seed);
       List<CrashLedger> ledgers = new ArrayList<>();
@@ -169,59 +169,64 @@
         ledgers.add(CrashLedger.create(time));
       }
       String request = fingerprint("request" + seed);
-      int ends = random.nextInt(2 * CrashLedger.MOST_RUNS);
-      for (int number = 0; number < ends; number++) {
-        endsUnder(ledgers.get(random.nextInt(4)), request, "i-" + number);
+      int crashes = random.nextInt(2 * CrashLedger.MAXIMUM_RUNS);
+      for (int number = 0; number < crashes; number++) {
+        crashUpstream(ledgers.get(random.nextInt(4)), request, "i-" + number);
         if (random.nextInt(4) == 0) {
           ledgers.get(random.nextInt(4)).endedWell(request);
         }
       }
       for (int round = 0; round < 4; round++) {
-        tellAll(ledgers, random);
+        replicateAll(ledgers, random);
       }
       List<Long> revisions = ledgers.stream().map(CrashLedger::revision).toList();
-      tellAll(ledgers, random);
-      assertEquals(ledgers.stream().map(CrashLedger::revision).toList(), revisions, "at rest");
-      for (CrashLedger one : ledgers) {
-        assertEquals(one.verdict(request), ledgers.get(0).verdict(request), "seed " + seed);
+      replicateAll(ledgers, random);
+      assertEquals(
+          ledgers.stream().map(CrashLedger::revision).toList(),
+          revisions,
+          "revisions after convergence");
+      for (CrashLedger replica : ledgers) {
+        assertEquals(replica.verdict(request), ledgers.get(0).verdict(request), "seed " + seed);
       }
     }
   }
 
-  private static void tellAll(List<CrashLedger> ledgers, Random random) {
+  private static void replicateAll(List<CrashLedger> ledgers, Random random) {
     List<CrashLedger> order = new ArrayList<>(ledgers);
     Collections.shuffle(order, random);
-    order.forEach(from -> ledgers.forEach(to -> tell(from, to)));
+    order.forEach(from -> ledgers.forEach(to -> replicate(from, to)));
   }
 
   @Test
-  public void testUnsoundRecordsChangeNothing() {
-    List<CrashRecord> unsound = new ArrayList<>();
-    CrashRecord.EndedRun run = new CrashRecord.EndedRun("i-1", 10, 5);
-    unsound.add(null);
-    unsound.add(new CrashRecord("short", "", List.of(run), -1));
-    unsound.add(new CrashRecord(GUILTY, null, List.of(run), -1));
-    unsound.add(new CrashRecord(GUILTY, "x".repeat(1000), List.of(run), -1));
-    unsound.add(new CrashRecord(GUILTY, "", null, -1));
-    unsound.add(new CrashRecord(GUILTY, "", Collections.nCopies(100, run), -1));
-    unsound.add(new CrashRecord(GUILTY, "", List.of(run), -2));
-    unsound.add(new CrashRecord(GUILTY, "", List.of(new CrashRecord.EndedRun(null, 10, 5)), -1));
-    unsound.add(new CrashRecord(GUILTY, "", List.of(new CrashRecord.EndedRun("i", 5, 10)), -1));
-    unsound.add(
-        new CrashRecord(GUILTY, "", List.of(new CrashRecord.EndedRun("i", Long.MAX_VALUE, 1)), 0));
-    ledger.merge(unsound, "another");
+  public void testInvalidRecordsAreIgnored() {
+    List<CrashRecord> invalid = new ArrayList<>();
+    CrashRecord.CrashedRun run = new CrashRecord.CrashedRun("i-1", 10, 5);
+    invalid.add(null);
+    invalid.add(new CrashRecord("short", "", List.of(run), -1));
+    invalid.add(new CrashRecord(CRASHING, null, List.of(run), -1));
+    invalid.add(new CrashRecord(CRASHING, "x".repeat(1000), List.of(run), -1));
+    invalid.add(new CrashRecord(CRASHING, "", null, -1));
+    invalid.add(new CrashRecord(CRASHING, "", Collections.nCopies(100, run), -1));
+    invalid.add(new CrashRecord(CRASHING, "", List.of(run), -2));
+    invalid.add(
+        new CrashRecord(CRASHING, "", List.of(new CrashRecord.CrashedRun(null, 10, 5)), -1));
+    invalid.add(new CrashRecord(CRASHING, "", List.of(new CrashRecord.CrashedRun("i", 5, 10)), -1));
+    invalid.add(
+        new CrashRecord(
+            CRASHING, "", List.of(new CrashRecord.CrashedRun("i", Long.MAX_VALUE, 1)), 0));
+    ledger.merge(invalid, "another");
     assertTrue(ledger.isEmpty());
   }
 
   @Test
-  public void testFingerprintTellsWhatDiffersAndNothingElse() {
+  public void testFingerprintDiffersOnlyByCoveredFields() {
     byte[] body = {1, 2};
-    String one = RequestFingerprint.of("a", "/b", "c", body);
-    assertEquals(RequestFingerprint.of("a", "/b", "c", body), one);
-    assertEquals(one.length(), RequestFingerprint.LENGTH);
-    assertNotEquals(RequestFingerprint.of("a/", "b", "c", body), one);
-    assertNotEquals(RequestFingerprint.of("a", "/b", "d", body), one);
-    assertNotEquals(RequestFingerprint.of("a", "/b", "c", new byte[] {1}), one);
-    assertNotEquals(RequestFingerprint.of("a", "/bc", "", body), one);
+    String fingerprint = RequestFingerprint.of("a", "/b", "c", body);
+    assertEquals(RequestFingerprint.of("a", "/b", "c", body), fingerprint);
+    assertEquals(fingerprint.length(), RequestFingerprint.LENGTH);
+    assertNotEquals(RequestFingerprint.of("a/", "b", "c", body), fingerprint);
+    assertNotEquals(RequestFingerprint.of("a", "/b", "d", body), fingerprint);
+    assertNotEquals(RequestFingerprint.of("a", "/b", "c", new byte[] {1}), fingerprint);
+    assertNotEquals(RequestFingerprint.of("a", "/bc", "", body), fingerprint);
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/internal/crash/package-info.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/crash/package-info.java
@@ -1,5 +1,5 @@
 // Copyright (c) 2026, the oatlug authors
 // SPDX-License-Identifier: BSD-3-Clause
 
-/** Tests of what is held against requests that upstreams end under. */
+/** Tests of the detection of requests that crash upstreams. */
 package org.oatlug.internal.crash;
--- a/org.oatlug/src/org/oatlug/internal/crash/CrashLedger.java
+++ b/org.oatlug/src/org/oatlug/internal/crash/CrashLedger.java
@@ -16,71 +16,72 @@
 import org.oatlug.internal.util.BoundedMap;
 
 /**
- * Which requests upstreams ended under, as this instance and all that told it have seen it.
+ * Records the requests during which upstreams crashed, as observed by this instance and its peers.
  *
- * <p>Load pattern: a request ends each upstream that runs it, its caller sends it again at any
- * instance, and everything else that is open at the upstream sees the same end. So starts of
- * upstreams are counted and not broken answers, as a set that instances join; a request that ends
- * well anywhere is innocent of what was before. Invariants: joining is commutative, associative and
- * idempotent but for the rounding of ages; there are at most {@link #MOST_REQUESTS}, and those with
- * the fewest ends fall out first, then the oldest, so that a flood of requests under which one
- * upstream ended pushes out none under which several did. Owned by one event loop, not thread-safe.
+ * <p>Load pattern: a request crashes each upstream that runs it, its caller retries it at any
+ * instance, and every other request that is open at the upstream fails with it. Therefore crashed
+ * upstream processes are counted rather than failed responses, as a set that instances merge; a
+ * request that completes anywhere is cleared of all earlier crashes. Invariants: merging is
+ * commutative, associative and idempotent except for the rounding of ages; at most {@link
+ * #MAXIMUM_REQUESTS} requests are kept, and those with the fewest crashes are evicted first, then
+ * the oldest, so that a flood of requests with one crash each evicts none with several. Owned by
+ * one event loop, not thread-safe.
  */
 public final class CrashLedger {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** How long an end speaks against a request: a request that comes again does so sooner. */
-  static final Duration VALID = Duration.ofMinutes(10);
+  /** How long a crash counts against a request: longer than callers take to retry. */
+  static final Duration VALIDITY = Duration.ofMinutes(10);
 
-  /** The most ends that are kept of a request: more than are ever needed to judge it. */
-  static final int MOST_RUNS = 8;
+  /** The maximum crashes kept for a request: more than any verdict needs. */
+  static final int MAXIMUM_RUNS = 8;
 
-  /** Several times the requests that are open at the upstreams which end in {@link #VALID}. */
-  static final int MOST_REQUESTS = 1024;
+  /** Several times the requests open at the upstreams that crash within {@link #VALIDITY}. */
+  static final int MAXIMUM_REQUESTS = 1024;
 
-  /** From so many ends on a request runs alone. */
-  private static final int SUSPECT_FROM = 2;
+  /** The number of crashes from which a request runs alone. */
+  private static final int SUSPECT_CRASHES = 2;
 
-  /** From so many ends in turn on a request is refused. */
-  private static final int REFUSED_FROM = 3;
+  /** The number of consecutive crashes from which a request is refused. */
+  private static final int REFUSED_CONSECUTIVE_CRASHES = 3;
 
-  /** The most records that one message carries; the rest follows with the next. */
-  private static final int MOST_TOLD = 128;
+  /** The maximum records in one message; the rest follows in the next. */
+  private static final int MAXIMUM_RECORDS_PER_MESSAGE = 128;
 
-  /** Requests that ended well while something was held against others. */
-  private static final int MOST_HARMLESS = 4096;
+  /** The maximum completed requests that are remembered while any request has crashes. */
+  private static final int MAXIMUM_COMPLETED = 4096;
 
-  /** How often requests are looked through that may have become too old to count. */
-  private static final Duration PURGE_PAUSE = Duration.ofSeconds(10);
+  /** The interval between removals of expired crashes. */
+  private static final Duration PURGE_INTERVAL = Duration.ofSeconds(10);
 
-  /** At most a line each so many milliseconds tells of suspects. */
-  private static final int LINES_MILLIS = 20;
+  /** The minimum interval between log lines about verdicts, in milliseconds. */
+  private static final int LOG_PERIOD_MILLIS = 20;
 
   private final InstantSource clock;
-  private final Map<String, EndedRuns> requests = new HashMap<>();
-  private final Map<String, Instant> harmless = BoundedMap.ofMost(MOST_HARMLESS);
+  private final Map<String, CrashedRuns> requests = new HashMap<>();
+  private final Map<String, Instant> completed = BoundedMap.ofMost(MAXIMUM_COMPLETED);
   private Instant nextPurge = Instant.EPOCH;
   private long revision;
   private long suspectsRevision;
 
-  /** What is held of a request. */
+  /** The verdict on a request. */
   public enum Verdict {
-    /** Nothing speaks against it, or too little. */
+    /** It has no crashes, or too few to restrict it. */
     CLEAR,
-    /** It runs alone, and once a try. */
+    /** It runs alone on an upstream, with a single attempt. */
     SUSPECT,
-    /** It is not run. */
+    /** It is refused. */
     REFUSED
   }
 
   /**
-   * A request that something is held against, for operators.
+   * A restricted request, as shown to operators.
    *
-   * @param fingerprint the request
-   * @param subject whose request it is and where it goes
-   * @param verdict what is held of it
-   * @param ended the starts of upstreams that ended under it
-   * @param lapsesMillis how long the earliest of them still counts, in milliseconds
+   * @param fingerprint the fingerprint of the request
+   * @param subject the workspace and destination of the request
+   * @param verdict the verdict on the request
+   * @param ended the upstream processes that crashed while they ran it
+   * @param lapsesMillis the time until the earliest crash expires, in milliseconds
    */
   public record Listed(
       String fingerprint, String subject, Verdict verdict, List<String> ended, long lapsesMillis) {}
@@ -89,12 +90,12 @@
     this.clock = clock;
   }
 
-  /** Returns a ledger that holds nothing. */
+  /** Returns an empty ledger. */
   public static CrashLedger create(InstantSource clock) {
     return new CrashLedger(clock);
   }
 
-  /** Returns whether nothing is held against any request; asked for each, so it is quick. */
+  /** Returns whether no request has crashes; cheap, because it is called for each request. */
   public boolean isEmpty() {
     if (!requests.isEmpty() && !clock.instant().isBefore(nextPurge)) {
       purge();
@@ -102,152 +103,156 @@
     return requests.isEmpty();
   }
 
-  /** Drops what is too old to count. */
+  /** Removes expired crashes. */
   private void purge() {
     Instant now = clock.instant();
-    nextPurge = now.plus(PURGE_PAUSE);
-    requests.values().removeIf(runs -> runs.forgetBefore(now.minus(VALID)));
+    nextPurge = now.plus(PURGE_INTERVAL);
+    requests.values().removeIf(runs -> runs.removeBefore(now.minus(VALIDITY)));
   }
 
-  /** Returns what is held of a request now. */
+  /** Returns the current verdict on a request. */
   public Verdict verdict(String fingerprint) {
-    return find(fingerprint).map(CrashLedger::verdictOf).orElse(Verdict.CLEAR);
+    return find(fingerprint).map(CrashLedger::judge).orElse(Verdict.CLEAR);
   }
 
-  private static Verdict verdictOf(EndedRuns runs) {
-    if (runs.endsInTurn() >= REFUSED_FROM) {
+  private static Verdict judge(CrashedRuns runs) {
+    if (runs.consecutiveCrashes() >= REFUSED_CONSECUTIVE_CRASHES) {
       return Verdict.REFUSED;
     }
-    return runs.ends() >= SUSPECT_FROM ? Verdict.SUSPECT : Verdict.CLEAR;
+    return runs.crashes() >= SUSPECT_CRASHES ? Verdict.SUSPECT : Verdict.CLEAR;
   }
 
-  /** Returns the request's runs that are not too old to count. */
-  private Optional<EndedRuns> find(String fingerprint) {
-    EndedRuns runs = requests.get(fingerprint);
-    if (runs != null && runs.forgetBefore(clock.instant().minus(VALID))) {
+  /** Returns the runs of the request that have not expired. */
+  private Optional<CrashedRuns> find(String fingerprint) {
+    CrashedRuns runs = requests.get(fingerprint);
+    if (runs != null && runs.removeBefore(clock.instant().minus(VALIDITY))) {
       requests.remove(fingerprint);
       return Optional.empty();
     }
     return Optional.ofNullable(runs);
   }
 
-  /** Returns whether the request runs alone once it has also ended a start of an upstream. */
+  /** Returns whether the request runs alone if it also crashes the given upstream process. */
   public boolean isSuspectAfter(String fingerprint, String process) {
-    return find(fingerprint).map(runs -> runs.endsBut(process) + 1 >= SUSPECT_FROM).orElse(false);
+    return find(fingerprint)
+        .map(runs -> runs.crashesExcept(process) + 1 >= SUSPECT_CRASHES)
+        .orElse(false);
   }
 
-  /** Returns the starts of upstreams that ended under the request and count. */
+  /** Returns the upstream processes whose crashes count against the request. */
   public List<String> ended(String fingerprint) {
-    return find(fingerprint).map(EndedRuns::processes).orElse(List.of());
+    return find(fingerprint).map(CrashedRuns::processes).orElse(List.of());
   }
 
-  /** Returns how long it takes until less is held against the request. */
+  /** Returns the time until the earliest crash of the request expires. */
   public Duration lapsesAfter(String fingerprint) {
     Instant now = clock.instant();
     return find(fingerprint)
-        .flatMap(EndedRuns::earliest)
-        .map(earliest -> Duration.between(now, earliest.plus(VALID)))
+        .flatMap(CrashedRuns::earliestCrash)
+        .map(earliest -> Duration.between(now, earliest.plus(VALIDITY)))
         .orElse(Duration.ZERO);
   }
 
   /**
-   * Takes in that an upstream ended under a request.
+   * Records that an upstream crashed while it ran a request.
    *
-   * @param subject whose request it is and where it goes, for operators
-   * @param process the upstream with its start
-   * @param began when the run began
-   * @param ended when the upstream ended
+   * @param subject the workspace and destination of the request, for operators
+   * @param process the upstream process: name and start of the upstream
+   * @param startedAt when the run started
+   * @param crashedAt when the upstream crashed
    */
   public void upstreamEnded(
-      String fingerprint, String subject, String process, Instant began, Instant ended) {
-    EndedRuns runs = entry(fingerprint, subject);
-    if (runs.add(process, began, ended)) {
-      changed(fingerprint, runs, "seen here");
+      String fingerprint, String subject, String process, Instant startedAt, Instant crashedAt) {
+    CrashedRuns runs = getOrCreate(fingerprint, subject);
+    if (runs.add(process, startedAt, crashedAt)) {
+      changed(fingerprint, runs, "observed by this instance");
     }
   }
 
-  /** Takes in that a request got a whole answer: it does not end whoever runs it. */
+  /** Records that a request received a complete response, which clears its earlier crashes. */
   public void endedWell(String fingerprint) {
-    harmless.put(fingerprint, clock.instant());
-    clear(fingerprint, "it ended well");
+    completed.put(fingerprint, clock.instant());
+    clear(fingerprint, "the request completed");
   }
 
-  /** Forgets what is held against a request, everywhere; returns whether anything was. */
+  /** Clears the crashes of a request on all instances; returns whether there were any. */
   public boolean forget(String fingerprint) {
-    return clear(fingerprint, "an operator forgets it");
+    return clear(fingerprint, "cleared by an operator");
   }
 
   private boolean clear(String fingerprint, String reason) {
-    Optional<EndedRuns> known = find(fingerprint);
-    boolean cleared = known.map(runs -> runs.clear(clock.instant())).orElse(false);
+    Optional<CrashedRuns> existing = find(fingerprint);
+    boolean cleared = existing.map(runs -> runs.clear(clock.instant())).orElse(false);
     if (cleared) {
-      changed(fingerprint, known.get(), reason);
+      changed(fingerprint, existing.get(), reason);
     }
     return cleared;
   }
 
-  private EndedRuns entry(String fingerprint, String subject) {
+  private CrashedRuns getOrCreate(String fingerprint, String subject) {
     find(fingerprint);
-    if (!requests.containsKey(fingerprint) && requests.size() >= MOST_REQUESTS) {
-      makeRoom();
+    if (!requests.containsKey(fingerprint) && requests.size() >= MAXIMUM_REQUESTS) {
+      evict();
     }
-    return requests.computeIfAbsent(fingerprint, unused -> new EndedRuns(subject));
+    return requests.computeIfAbsent(fingerprint, unused -> new CrashedRuns(subject));
   }
 
-  private void makeRoom() {
+  private void evict() {
     purge();
-    if (requests.size() < MOST_REQUESTS) {
+    if (requests.size() < MAXIMUM_REQUESTS) {
       return;
     }
     requests.entrySet().stream()
         .min(
-            Comparator.<Map.Entry<String, EndedRuns>>comparingInt(one -> one.getValue().ends())
-                .thenComparingLong(one -> one.getValue().revision()))
-        .ifPresent(weakest -> requests.remove(weakest.getKey()));
+            Comparator.<Map.Entry<String, CrashedRuns>>comparingInt(
+                    entry -> entry.getValue().crashes())
+                .thenComparingLong(entry -> entry.getValue().revision()))
+        .ifPresent(evicted -> requests.remove(evicted.getKey()));
   }
 
-  private void changed(String fingerprint, EndedRuns runs, String reason) {
-    Optional.ofNullable(harmless.get(fingerprint)).ifPresent(runs::clear);
-    Verdict verdict = verdictOf(runs);
-    Verdict before = runs.judge(verdict, ++revision);
+  private void changed(String fingerprint, CrashedRuns runs, String reason) {
+    Optional.ofNullable(completed.get(fingerprint)).ifPresent(runs::clear);
+    Verdict verdict = judge(runs);
+    Verdict before = runs.update(verdict, ++revision);
     if (verdict != Verdict.CLEAR) {
       suspectsRevision = revision;
     } else if (before == Verdict.CLEAR) {
       return;
     }
-    logger.atInfo().atMostEvery(LINES_MILLIS, TimeUnit.MILLISECONDS).log(
-        "request %s of %s is held %s: upstreams that ended under it %s, in turn %d; %s",
-        fingerprint, runs.subject(), verdict, runs.processes(), runs.endsInTurn(), reason);
+    logger.atInfo().atMostEvery(LOG_PERIOD_MILLIS, TimeUnit.MILLISECONDS).log(
+        "request %s of %s has verdict %s: crashed upstreams %s, consecutive crashes %d; %s",
+        fingerprint, runs.subject(), verdict, runs.processes(), runs.consecutiveCrashes(), reason);
   }
 
-  /** Returns the number of the last change. */
+  /** Returns the revision of the last change. */
   public long revision() {
     return revision;
   }
 
-  /** Returns the number of the last change of a request that is not clear. */
+  /** Returns the revision of the last change of a request that is not clear. */
   public long suspectsRevision() {
     return suspectsRevision;
   }
 
-  /** Returns the records that changed after a revision, the earliest first. */
-  public CrashNews after(long read) {
-    if (read >= revision) {
+  /** Returns the records that changed after a revision, the earliest change first. */
+  public CrashNews after(long knownRevision) {
+    if (knownRevision >= revision) {
       return new CrashNews(List.of(), revision);
     }
     Instant now = clock.instant();
-    List<Map.Entry<String, EndedRuns>> fresh =
+    List<Map.Entry<String, CrashedRuns>> updated =
         requests.entrySet().stream()
-            .filter(one -> one.getValue().revision() > read)
-            .sorted(Comparator.comparingLong(one -> one.getValue().revision()))
-            .limit(MOST_TOLD)
+            .filter(entry -> entry.getValue().revision() > knownRevision)
+            .sorted(Comparator.comparingLong(entry -> entry.getValue().revision()))
+            .limit(MAXIMUM_RECORDS_PER_MESSAGE)
             .toList();
-    long upTo = fresh.stream().mapToLong(one -> one.getValue().revision()).max().orElse(revision);
+    long upTo =
+        updated.stream().mapToLong(entry -> entry.getValue().revision()).max().orElse(revision);
     return new CrashNews(
-        fresh.stream().map(one -> one.getValue().asOf(now, one.getKey())).toList(), upTo);
+        updated.stream().map(entry -> entry.getValue().asOf(now, entry.getKey())).toList(), upTo);
   }
 
-  /** Takes in what another instance told. */
+  /** Merges records of another instance. */
   public void merge(List<CrashRecord> records, String from) {
     Instant now = clock.instant();
     records.stream()
@@ -256,36 +261,36 @@
   }
 
   private void merge(CrashRecord record, Instant now, String from) {
-    List<CrashRecord.EndedRun> valid =
-        record.runs().stream().filter(run -> run.endedAgeMillis() < VALID.toMillis()).toList();
-    if (valid.isEmpty()) {
+    List<CrashRecord.CrashedRun> unexpired =
+        record.runs().stream().filter(run -> run.endedAgeMillis() < VALIDITY.toMillis()).toList();
+    if (unexpired.isEmpty()) {
       return;
     }
-    EndedRuns runs = entry(record.fingerprint(), record.subject());
+    CrashedRuns runs = getOrCreate(record.fingerprint(), record.subject());
     boolean isNew = false;
-    for (CrashRecord.EndedRun run : valid) {
-      Instant began = now.minusMillis(run.beganAgeMillis());
-      isNew |= runs.add(run.process(), began, now.minusMillis(run.endedAgeMillis()));
+    for (CrashRecord.CrashedRun run : unexpired) {
+      Instant startedAt = now.minusMillis(run.beganAgeMillis());
+      isNew |= runs.add(run.process(), startedAt, now.minusMillis(run.endedAgeMillis()));
     }
     if (record.clearedAgeMillis() != CrashRecord.NEVER) {
       isNew |= runs.clear(now.minusMillis(record.clearedAgeMillis()));
     }
     if (isNew) {
-      changed(record.fingerprint(), runs, "told by " + from);
+      changed(record.fingerprint(), runs, "reported by " + from);
     }
   }
 
-  /** Returns the requests that run alone or not at all. */
+  /** Returns the requests that run alone or are refused, sorted by fingerprint. */
   public List<Listed> listed() {
     return List.copyOf(requests.keySet()).stream()
         .sorted()
-        .filter(one -> verdict(one) != Verdict.CLEAR)
+        .filter(fingerprint -> verdict(fingerprint) != Verdict.CLEAR)
         .map(this::listed)
         .toList();
   }
 
   private Listed listed(String fingerprint) {
-    EndedRuns runs = requests.get(fingerprint);
+    CrashedRuns runs = requests.get(fingerprint);
     return new Listed(
         fingerprint,
         runs.subject(),
--- a/org.oatlug/src/org/oatlug/internal/crash/CrashNews.java
+++ b/org.oatlug/src/org/oatlug/internal/crash/CrashNews.java
@@ -6,16 +6,16 @@
 import java.util.List;
 
 /**
- * The records of a ledger that changed after some revision. Immutable.
+ * The records of a ledger that changed after a given revision. Immutable.
  *
  * @param records the records
- * @param upTo the revision from which to go on
+ * @param upTo the revision to continue from
  */
 public record CrashNews(List<CrashRecord> records, long upTo) {
-  /** Nothing, read from the beginning. */
+  /** No records, to continue from the first revision. */
   public static final CrashNews NONE = new CrashNews(List.of(), 0);
 
-  /** Takes a missing list for an empty one. */
+  /** Treats a missing list as empty. */
   public CrashNews {
     records = records == null ? List.of() : records;
   }
--- a/org.oatlug/src/org/oatlug/internal/crash/CrashRecord.java
+++ b/org.oatlug/src/org/oatlug/internal/crash/CrashRecord.java
@@ -6,51 +6,51 @@
 import java.util.List;
 
 /**
- * What instances tell each other of one request and the upstreams that ended under it. Immutable.
+ * The crash history of one request, as instances exchange it. Immutable.
  *
- * <p>Ages are told and not times of day, which differ between instances.
+ * <p>Ages are exchanged rather than times of day, because clocks differ between instances.
  *
- * @param fingerprint the request
- * @param subject whose request it is and where it goes, for operators
- * @param runs its runs under which an upstream ended, one for each start of an upstream
- * @param clearedAgeMillis how long ago it was known to be harmless, -1 for never
+ * @param fingerprint the fingerprint of the request
+ * @param subject the workspace and destination of the request, for operators
+ * @param runs its runs during which an upstream crashed, one for each upstream process
+ * @param clearedAgeMillis how long ago the request was cleared, in milliseconds, -1 for never
  */
 public record CrashRecord(
-    String fingerprint, String subject, List<EndedRun> runs, long clearedAgeMillis) {
-  /** Stands for a request that was never known to be harmless. */
+    String fingerprint, String subject, List<CrashedRun> runs, long clearedAgeMillis) {
+  /** The age that stands for a request that was never cleared. */
   static final long NEVER = -1;
 
-  /** Longer than the name of any upstream with its start. */
-  private static final int MOST_NAME_LENGTH = 512;
+  /** The maximum length of the name of an upstream process, in characters. */
+  private static final int MAXIMUM_NAME_LENGTH = 512;
 
-  /** The longest subject that is kept, in characters. */
+  /** The maximum length of a subject, in characters. */
   static final int MOST_SUBJECT_LENGTH = 160;
 
   /**
-   * A run under which its upstream ended.
+   * A run during which its upstream crashed.
    *
-   * @param process the upstream with its start
-   * @param beganAgeMillis how long ago it began, in milliseconds
-   * @param endedAgeMillis how long ago the upstream ended, in milliseconds
+   * @param process the upstream process: name and start of the upstream
+   * @param beganAgeMillis how long ago the run started, in milliseconds
+   * @param endedAgeMillis how long ago the upstream crashed, in milliseconds
    */
-  public record EndedRun(String process, long beganAgeMillis, long endedAgeMillis) {
+  public record CrashedRun(String process, long beganAgeMillis, long endedAgeMillis) {
     private boolean isSound() {
       return process != null
-          && process.length() <= MOST_NAME_LENGTH
+          && process.length() <= MAXIMUM_NAME_LENGTH
           && endedAgeMillis >= 0
           && beganAgeMillis >= endedAgeMillis
-          && beganAgeMillis <= 2 * CrashLedger.VALID.toMillis();
+          && beganAgeMillis <= 2 * CrashLedger.VALIDITY.toMillis();
     }
   }
 
-  /** Returns whether it can be taken in. */
+  /** Returns whether the record is valid and can be merged. */
   boolean isSound() {
     return fingerprint != null
         && fingerprint.length() == RequestFingerprint.LENGTH
         && subject != null
         && subject.length() <= MOST_SUBJECT_LENGTH
         && runs != null
-        && runs.size() <= CrashLedger.MOST_RUNS
+        && runs.size() <= CrashLedger.MAXIMUM_RUNS
         && runs.stream().allMatch(run -> run != null && run.isSound())
         && clearedAgeMillis >= NEVER;
   }
--- a/org.oatlug/src/org/oatlug/internal/crash/RequestFingerprint.java
+++ b/org.oatlug/src/org/oatlug/internal/crash/RequestFingerprint.java
@@ -10,11 +10,11 @@
 import java.util.Arrays;
 
 /**
- * Tells a request that its caller sends again from all others, at every instance alike.
+ * Identifies a request across the retries of its caller, equally on every instance.
  *
- * <p>It covers host, path with query, workspace and body; not the id, the deadline, the session or
- * the other headers, which change with each try. 128 bits of SHA-256 are enough that nobody can
- * make another caller's request look the same. Stateless, thread-safe.
+ * <p>The fingerprint covers host, path with query, workspace and body, but not the id, the
+ * deadline, the session or other headers, which change with each attempt. 128 bits of SHA-256 keep
+ * a caller from forging the fingerprint of another caller's request. Stateless, thread-safe.
  */
 public final class RequestFingerprint {
   private static final int BYTES = 16;
@@ -27,7 +27,7 @@
   /**
    * Returns the fingerprint of a request, in hexadecimal.
    *
-   * @param workspace the workspace of the caller, empty on a route open to all
+   * @param workspace the workspace of the caller, empty on a public route
    */
   public static String of(String host, String uri, String workspace, byte[] body) {
     Hasher hasher = Hashing.sha256().newHasher();
--- a/org.oatlug/src/org/oatlug/internal/crash/package-info.java
+++ b/org.oatlug/src/org/oatlug/internal/crash/package-info.java
@@ -1,5 +1,5 @@
 // Copyright (c) 2026, the oatlug authors
 // SPDX-License-Identifier: BSD-3-Clause
 
-/** Which requests upstreams end under, as all instances together have seen it. */
+/** Detection of requests that crash upstreams, shared by all instances. */
 package org.oatlug.internal.crash;
