--- a/org.oatlug.test/tst/org/oatlug/internal/limit/AdvertisedLimitsTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/limit/AdvertisedLimitsTest.java
@@ -12,7 +12,7 @@
 import org.oatlug.test.VirtualTime;
 import org.testng.annotations.Test;
 
-/** Which of two observations of an upstream's limit is valid. */
+/** Tests which of two observations of the limit of an upstream is valid. */
 public class AdvertisedLimitsTest {
   private static final String UPSTREAM = "i-1@1000";
   private static final Duration SECOND = Duration.ofSeconds(1);
@@ -21,7 +21,7 @@
   private final AdvertisedLimits limits = AdvertisedLimits.create(time);
 
   @Test
-  public void testLateAnswerToAnEarlierRequestDoesNotEndTheLimit() {
+  public void testLateResponseToEarlierRequestDoesNotEndLimit() {
     var written = time.instant();
     time.run(SECOND);
     limits.advertised("late", 2);
@@ -32,7 +32,7 @@
   }
 
   @Test
-  public void testOlderReportDoesNotBringBackAnEndedLimit() {
+  public void testOlderReportDoesNotRestoreEndedLimit() {
     limits.advertised(UPSTREAM, 2);
     time.run(SECOND);
     limits.notAdvertised(UPSTREAM, time.instant());
@@ -41,7 +41,7 @@
   }
 
   @Test
-  public void testOfTwoReportsAtOneMomentTheStricterIsValid() {
+  public void testStricterOfSimultaneousReportsIsValid() {
     limits.advertised("tie", 2);
     limits.applyReported(Map.of("tie", new AdvertisedLimit(1, 0)));
     assertEquals(limits.of("tie"), OptionalDouble.of(1));
@@ -51,13 +51,13 @@
   }
 
   @Test
-  public void testWhatOthersReportedIsNotReportedAgain() {
+  public void testReportsOfOthersAreNotForwarded() {
     limits.applyReported(Map.of("reported", new AdvertisedLimit(1, 0)));
     assertTrue(!limits.observed().containsKey("reported"));
   }
 
   @Test
-  public void testLimitOutlastsItsReports() {
+  public void testLimitStaysValidAfterItIsNoLongerReported() {
     limits.advertised("quiet", 2);
     time.run(AdvertisedLimits.REPORTED_FOR.plus(SECOND));
     assertEquals(limits.of("quiet"), OptionalDouble.of(2));
@@ -65,13 +65,13 @@
   }
 
   @Test
-  public void testAnswersOfUpstreamsWithoutLimitsLeaveNothingBehind() {
+  public void testResponsesWithoutLimitAreNotStored() {
     limits.notAdvertised("usual", time.instant());
     assertTrue(!limits.observed().containsKey("usual"));
   }
 
   @Test
-  public void testEndedLimitIsConfirmedOnlyForSomeTime() {
+  public void testEndOfLimitIsReportedForBoundedTime() {
     limits.advertised("ended", 2);
     time.run(SECOND);
     limits.notAdvertised("ended", time.instant());
--- a/org.oatlug.test/tst/org/oatlug/internal/limit/AdvertisedRateTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/limit/AdvertisedRateTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The rate that an upstream advertises, read from its wire form. */
+/** Tests parsing of the rate that an upstream advertises. */
 public class AdvertisedRateTest {
   @DataProvider
   Object[][] rates() {
--- a/org.oatlug.test/tst/org/oatlug/internal/limit/AskedRestTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/limit/AskedRestTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The rest that an upstream asks for in a refusal, read from its wire form. */
+/** Tests parsing of the header {@code Retry-After} of a refusal. */
 public class AskedRestTest {
   @DataProvider
   Object[][] rests() {
@@ -28,7 +28,7 @@
   }
 
   @Test(dataProvider = "rests")
-  public void testRestIsBounded(String text, Duration expected) {
+  public void testDelayIsBounded(String text, Duration expected) {
     assertEquals(AskedRest.of(text), expected);
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/internal/limit/SharedRateLimitTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/limit/SharedRateLimitTest.java
@@ -19,23 +19,23 @@
 import org.oatlug.internal.limit.SharedRateLimit.Target;
 
 /**
- * Shows that upstreams which are cold or advertise a limit get no more than that from all instances
- * together, whatever these believe of each other.
+ * Tests that all instances together keep to the limit of an upstream that is cold or advertises
+ * one, even if they disagree on the membership.
  *
- * <p>Load pattern: the upstreams of a zone come back together and every instance wants to send all
- * that it has to them, while instances are cut off, start, stand still or are added.
+ * <p>Load pattern: the upstreams of a zone restart together and every instance prefers them, while
+ * instances are partitioned, restarted, paused or added.
  */
 class SharedRateLimitTest {
   private static final String SEED = "20261203";
   private static final double BOUND = 20;
   private static final double[] ADVERTISED = {0.5, 1.1, 20};
 
-  /** Zones, and instances in each. */
+  /** Pairs of a number of zones and a number of instances in each. */
   private static final int[][] SIZES = {{3, 2}, {7, 1}, {3, 20}, {5, 19}};
 
   private static final int UPSTREAMS = 4;
-  private static final Duration MEETING = Duration.ofSeconds(12);
-  private static final Duration COLD = Duration.ofSeconds(3);
+  private static final Duration SETTLING_TIME = Duration.ofSeconds(12);
+  private static final Duration COLD_PERIOD = Duration.ofSeconds(3);
   private static final Instant START = Instant.parse("2026-12-03T12:00:00Z");
 
   private static Target cold(double bound) {
@@ -43,17 +43,17 @@
   }
 
   @Property(tries = 40, seed = SEED)
-  void testFleetStaysUnderTheBoundInAnySecond(@ForAll long chance) {
-    Random random = new Random(chance);
+  void testFleetKeepsToColdBoundInAnySecond(@ForAll long fleetSeed) {
+    Random random = new Random(fleetSeed);
     int zones = 1 + random.nextInt(4);
     int perZone = 1 + random.nextInt(12);
-    RateFleet fleet = RateFleet.ofCold(RateFleet.RANKED_COLD, BOUND, zones, perZone, chance);
-    fleet.run(MEETING);
+    RateFleet fleet = RateFleet.ofCold(RateFleet.RANKED_COLD, BOUND, zones, perZone, fleetSeed);
+    fleet.run(SETTLING_TIME);
     for (int round = 0; round < 3; round++) {
       fleet.limit(UPSTREAMS);
-      for (int trouble = 0; trouble < 3; trouble++) {
+      for (int disturbance = 0; disturbance < 3; disturbance++) {
         disturb(fleet, random, zones * perZone);
-        fleet.run(COLD.dividedBy(1 + random.nextInt(4)));
+        fleet.run(COLD_PERIOD.dividedBy(1 + random.nextInt(4)));
       }
       assertTrue(fleet.worst() <= BOUND, "in a second " + fleet.worst());
     }
@@ -69,17 +69,18 @@
     }
   }
 
-  /** A limit that each instance kept for itself was exceeded by as many times as there are some. */
+  /** Guards against limits per instance, which the fleet exceeds by the number of instances. */
   @Property(tries = 30, seed = SEED)
-  void testFleetKeepsToAdvertisedLimitInAnySpan(@ForAll long chance) {
-    Random random = new Random(chance);
+  void testFleetKeepsToAdvertisedLimitInAnySpan(@ForAll long fleetSeed) {
+    Random random = new Random(fleetSeed);
     int[] size = SIZES[random.nextInt(SIZES.length)];
     double rate = ADVERTISED[random.nextInt(ADVERTISED.length)];
-    RateFleet fleet = RateFleet.ofLimited(RateFleet.RANKED_LIMITED, rate, size[0], size[1], chance);
-    fleet.run(MEETING);
+    RateFleet fleet =
+        RateFleet.ofLimited(RateFleet.RANKED_LIMITED, rate, size[0], size[1], fleetSeed);
+    fleet.run(SETTLING_TIME);
     for (int round = 0; round < 2; round++) {
       fleet.limit(UPSTREAMS);
-      for (int trouble = 0; trouble < 4; trouble++) {
+      for (int disturbance = 0; disturbance < 4; disturbance++) {
         disturb(fleet, random, size[0] * size[1]);
         fleet.run(Duration.ofMillis(500 + random.nextInt(4000)));
       }
@@ -89,11 +90,12 @@
   }
 
   @Property(tries = 12, seed = SEED)
-  void testFleetKeepsToLimitThatChangesEverySecond(@ForAll long chance) {
-    Random random = new Random(chance);
+  void testFleetKeepsToLimitThatChangesEverySecond(@ForAll long fleetSeed) {
+    Random random = new Random(fleetSeed);
     int[] size = SIZES[random.nextInt(SIZES.length)];
-    RateFleet fleet = RateFleet.ofLimited(RateFleet.RANKED_LIMITED, 20, size[0], size[1], chance);
-    fleet.run(MEETING);
+    RateFleet fleet =
+        RateFleet.ofLimited(RateFleet.RANKED_LIMITED, 20, size[0], size[1], fleetSeed);
+    fleet.run(SETTLING_TIME);
     fleet.limit(UPSTREAMS);
     for (int second = 0; second < 12; second++) {
       fleet.advertise(20 * random.nextDouble());
@@ -102,13 +104,13 @@
     assertTrue(fleet.worst() <= 6 * 20 + 5, "in 4 s " + fleet.worst());
   }
 
-  /** An upstream that limits its rate gets what it accepts, and not a part of it. */
+  /** An upstream that limits its rate receives the full rate that it accepts. */
   @Property(tries = 1, seed = SEED)
-  void testCalmFleetUsesAdvertisedLimit() {
+  void testStableFleetUsesAdvertisedLimit() {
     for (int[] size : SIZES) {
       for (double rate : ADVERTISED) {
         RateFleet fleet = RateFleet.ofLimited(RateFleet.RANKED_LIMITED, rate, size[0], size[1], 1);
-        fleet.run(MEETING);
+        fleet.run(SETTLING_TIME);
         fleet.stepBy(Duration.ofMillis(4));
         fleet.limit(UPSTREAMS);
         fleet.run(Duration.ofSeconds(20));
@@ -119,7 +121,7 @@
     }
   }
 
-  /** Without probes nobody would learn that a limit of zero has ended. */
+  /** Without probes no instance would learn that a limit of zero has ended. */
   @Property(tries = 1, seed = SEED)
   void testUpstreamThatAcceptsNothingIsProbed() {
     SharedRateLimit limit = SharedRateLimit.create(SenderSelection.ALONE);
@@ -133,11 +135,11 @@
     assertTrue(limit.allows(target, START.plusMillis(4001)));
   }
 
-  /** Sends that are written late do not come together with those that were meant for later. */
+  /** Requests that are written late count at the time of writing. */
   @Property(tries = 300, seed = SEED)
-  void testOneInstanceWritesFewInAnySecond(
-      @ForAll long chance, @ForAll @IntRange(min = 1, max = 40) int bound) {
-    Random random = new Random(chance);
+  void testInstanceKeepsToBoundInAnySecond(
+      @ForAll long fleetSeed, @ForAll @IntRange(min = 1, max = 40) int bound) {
+    Random random = new Random(fleetSeed);
     SharedRateLimit limit = SharedRateLimit.create(SenderSelection.ALONE);
     List<Instant> written = new ArrayList<>();
     List<SharedRateLimit.Permit> pending = new ArrayList<>();
@@ -163,12 +165,13 @@
       Instant until = from.plusSeconds(1);
       long count = written.stream().filter(at -> !at.isBefore(from) && at.isBefore(until)).count();
       assertTrue(
-          count <= Math.min(bound, SharedRateLimit.MOST_COLD_PER_SECOND), "in a second " + count);
+          count <= Math.min(bound, SharedRateLimit.MAXIMUM_COLD_PER_SECOND),
+          "in a second " + count);
     }
   }
 
   @Property(tries = 1, seed = SEED)
-  void testUpstreamThatBearsLessThanOneGetsNothing() {
+  void testColdUpstreamThatAcceptsLessThanOneReceivesNothing() {
     SharedRateLimit limit = SharedRateLimit.create(SenderSelection.ALONE);
     assertFalse(limit.allows(cold(0.9), START));
     assertEquals(cold(0.9).senders(), 0);
@@ -177,7 +180,7 @@
   }
 
   @Property(tries = 1, seed = SEED)
-  void testLeaveThatIsGivenBackCanBeTakenAgain() {
+  void testReleasedPermitCanBeAcquiredAgain() {
     SharedRateLimit limit = SharedRateLimit.create(SenderSelection.ALONE);
     limit.acquire(cold(1)).release();
     assertTrue(limit.allows(cold(1), START));
@@ -186,13 +189,13 @@
     assertTrue(limit.allows(cold(1), START.plusMillis(1001)));
   }
 
-  /** A calm fleet is not kept from cold upstreams: half of the bound is used at once. */
+  /** A stable fleet uses half of the bound of cold upstreams at once. */
   @Property(tries = 1, seed = SEED)
-  void testCalmFleetUsesHalfOfTheBound() {
+  void testStableFleetUsesHalfOfColdBound() {
     RateFleet fleet = RateFleet.ofCold(RateFleet.RANKED_COLD, BOUND, 3, 20, 1);
-    fleet.run(MEETING);
+    fleet.run(SETTLING_TIME);
     fleet.limit(UPSTREAMS);
-    fleet.run(COLD);
+    fleet.run(COLD_PERIOD);
     assertTrue(fleet.usedShare() > 0.45, "used " + fleet.usedShare());
     assertTrue(fleet.firstMillis().orElseThrow() < 100);
   }
--- a/org.oatlug.test/tst/org/oatlug/internal/limit/TurnLineTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/limit/TurnLineTest.java
@@ -15,24 +15,24 @@
 import org.testng.annotations.Test;
 
 /**
- * Replays what a choked instance gets after a loss of all: requests that waited in its socket, then
- * more than it can work on, each in several steps of one event loop. Virtual time.
+ * Replays the load of an instance after a complete outage in virtual time: requests queued in its
+ * socket, then more than it can process, each in several steps of one event loop.
  */
 public class TurnLineTest {
   private static final Duration STEP = Duration.ofMillis(25);
-  private static final Duration GOAL = Duration.ofMillis(900);
-  private static final Duration PATIENCE = Duration.ofSeconds(3);
-  private static final int WAITING_AT_START = 80;
-  private static final int LATER = 150;
-  private static final Duration BETWEEN = Duration.ofMillis(90);
+  private static final Duration LATENCY_TARGET = Duration.ofMillis(900);
+  private static final Duration CALLER_TIMEOUT = Duration.ofSeconds(3);
+  private static final int QUEUED_AT_START = 80;
+  private static final int LATER_REQUESTS = 150;
+  private static final Duration ARRIVAL_INTERVAL = Duration.ofMillis(90);
 
   private final VirtualTime time = new VirtualTime();
 
-  /** One event loop: tasks one after the other, each takes a step; others wait behind it. */
+  /** An event loop that runs tasks sequentially, each for the time of a step. */
   private final class EventLoop {
     private Instant freeAt = time.instant();
 
-    /** Runs an action behind the tasks that wait now, which takes no time of its own. */
+    /** Runs an action, which takes no time, after the tasks that are queued now. */
     void yield(Runnable action) {
       Instant now = time.instant();
       time.after(freeAt.isAfter(now) ? Duration.between(now, freeAt) : Duration.ZERO, action);
@@ -40,18 +40,18 @@
 
     void execute(Runnable task) {
       Instant now = time.instant();
-      Instant begins = freeAt.isAfter(now) ? freeAt : now;
-      freeAt = begins.plus(STEP);
+      Instant startsAt = freeAt.isAfter(now) ? freeAt : now;
+      freeAt = startsAt.plus(STEP);
       time.after(Duration.between(now, freeAt), task);
     }
   }
 
-  /** A request; served after it was read, chosen, opened, written and answered. */
+  /** A request: read, routed, connected, written and answered in steps of the loop. */
   private final class Request {
     private final Instant sentAt = time.instant();
 
-    private boolean isGone() {
-      return time.instant().isAfter(sentAt.plus(PATIENCE));
+    private boolean hasTimedOut() {
+      return time.instant().isAfter(sentAt.plus(CALLER_TIMEOUT));
     }
 
     private Duration age() {
@@ -59,7 +59,7 @@
     }
   }
 
-  /** What became of the requests. */
+  /** Counts of the requests served, and of those served in time. */
   private static final class Outcome {
     private int inTime;
     private int served;
@@ -68,33 +68,33 @@
   private final EventLoop loop = new EventLoop();
   private final Outcome outcome = new Outcome();
 
-  /** Opens a connection, writes and reads the answer: a step of the loop each. */
+  /** Opens a connection, writes the request and reads the response, a step of the loop each. */
   private boolean attempt(Request request) {
     loop.execute(() -> loop.execute(() -> write(request)));
     return true;
   }
 
   private void write(Request request) {
-    if (!request.isGone()) {
+    if (!request.hasTimedOut()) {
       loop.execute(() -> loop.execute(() -> serve(request)));
     }
   }
 
   private void serve(Request request) {
-    if (!request.isGone()) {
+    if (!request.hasTimedOut()) {
       outcome.served++;
-      outcome.inTime += request.age().compareTo(GOAL) <= 0 ? 1 : 0;
+      outcome.inTime += request.age().compareTo(LATENCY_TARGET) <= 0 ? 1 : 0;
     }
   }
 
   private Outcome replay(Consumer<Request> enter) {
-    for (int number = 0; number < WAITING_AT_START; number++) {
+    for (int number = 0; number < QUEUED_AT_START; number++) {
       Request request = new Request();
       loop.execute(() -> enter.accept(request));
     }
-    for (int number = 1; number <= LATER; number++) {
+    for (int number = 1; number <= LATER_REQUESTS; number++) {
       time.after(
-          BETWEEN.multipliedBy(number),
+          ARRIVAL_INTERVAL.multipliedBy(number),
           () -> {
             Request request = new Request();
             loop.execute(() -> enter.accept(request));
@@ -104,78 +104,79 @@
     return outcome;
   }
 
-  /**
-   * As it was: every request began at once, and hardly one of those that came later was in time.
-   */
+  /** Without the queue all requests start at once, and hardly any of the later ones is in time. */
   @Test
-  public void testAllTogetherServeHardlyAnybody() {
-    Outcome all = replay(this::attempt);
-    assertTrue(all.inTime <= 12, "in time " + all.inTime);
+  public void testFewRequestsAreInTimeWithoutQueue() {
+    Outcome unqueued = replay(this::attempt);
+    assertTrue(unqueued.inTime <= 12, "in time " + unqueued.inTime);
   }
 
   @Test
-  public void testOneInTurnServesThoseThatCanBeInTime() {
-    TurnLine<Request> line =
-        TurnLine.create(time, loop::yield, request -> !request.isGone() && attempt(request));
-    Outcome one = replay(line::enter);
-    assertTrue(one.inTime >= 50, "in time " + one.inTime + " served " + one.served);
-    assertEquals(line.waiting(), 0);
+  public void testQueueServesRequestsThatCanBeInTime() {
+    TurnLine<Request> queue =
+        TurnLine.create(time, loop::yield, request -> !request.hasTimedOut() && attempt(request));
+    Outcome queued = replay(queue::enter);
+    assertTrue(queued.inTime >= 50, "in time " + queued.inTime + " served " + queued.served);
+    assertEquals(queue.waiting(), 0);
   }
 
-  /** Lets actions wait for the test. */
-  private static final class Turns {
-    private final List<Runnable> planned = new ArrayList<>();
+  /** Holds actions until the test runs the next iteration. */
+  private static final class Iterations {
+    private final List<Runnable> scheduled = new ArrayList<>();
 
     void next() {
-      List<Runnable> now = List.copyOf(planned);
-      planned.clear();
+      List<Runnable> now = List.copyOf(scheduled);
+      scheduled.clear();
       now.forEach(Runnable::run);
     }
   }
 
   @Test
-  public void testRequestBeginsAtOnceWhereNothingIsChoked() {
-    List<String> begun = new ArrayList<>();
-    Turns turns = new Turns();
-    TurnLine<String> line = TurnLine.create(time, turns.planned::add, begun::add);
+  public void testRequestStartsAtOnceWithoutOverload() {
+    List<String> started = new ArrayList<>();
+    Iterations iterations = new Iterations();
+    TurnLine<String> queue = TurnLine.create(time, iterations.scheduled::add, started::add);
     for (int number = 1; number <= 100; number++) {
-      line.enter("request-" + number);
-      assertEquals(begun.size(), number);
-      turns.next();
+      queue.enter("request-" + number);
+      assertEquals(started.size(), number);
+      iterations.next();
     }
-    assertTrue(turns.planned.isEmpty(), "nothing is planned while nobody waits");
+    assertTrue(iterations.scheduled.isEmpty(), "an empty queue schedules no iteration");
   }
 
   @Test
-  public void testOldestFirstUntilItWaitsForLong() {
-    List<String> begun = new ArrayList<>();
-    Turns turns = new Turns();
-    TurnLine<String> line = TurnLine.create(time, turns.planned::add, begun::add);
+  public void testOldestStartsFirstUntilItWaitedTooLong() {
+    List<String> started = new ArrayList<>();
+    Iterations iterations = new Iterations();
+    TurnLine<String> queue = TurnLine.create(time, iterations.scheduled::add, started::add);
     for (int number = 1; number <= 20; number++) {
-      line.enter("request-" + number);
+      queue.enter("request-" + number);
     }
-    assertEquals(begun, List.of("request-1"));
-    turns.next();
-    assertEquals(begun.get(1), "request-2");
+    assertEquals(started, List.of("request-1"));
+    iterations.next();
+    assertEquals(started.get(1), "request-2");
     time.run(Duration.ofMillis(200));
-    turns.next();
-    assertEquals(begun.get(2), "request-20");
-    assertEquals(line.waiting(), 17);
+    iterations.next();
+    assertEquals(started.get(2), "request-20");
+    assertEquals(queue.waiting(), 17);
   }
 
   @Test
-  public void testRequestThatCanNoLongerBeServedTakesNoPlace() {
-    List<String> begun = new ArrayList<>();
-    Turns turns = new Turns();
-    TurnLine<String> line =
-        TurnLine.create(time, turns.planned::add, one -> !one.equals("late") && begun.add(one));
+  public void testExpiredRequestUsesNoIteration() {
+    List<String> started = new ArrayList<>();
+    Iterations iterations = new Iterations();
+    TurnLine<String> queue =
+        TurnLine.create(
+            time,
+            iterations.scheduled::add,
+            request -> !request.equals("late") && started.add(request));
     for (int number = 0; number < 50; number++) {
-      line.enter("late");
+      queue.enter("late");
     }
     for (int number = 0; number < 6; number++) {
-      line.enter("request");
+      queue.enter("request");
     }
-    assertEquals(begun.size(), 1);
-    assertEquals(line.waiting(), 5);
+    assertEquals(started.size(), 1);
+    assertEquals(queue.waiting(), 5);
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/crash/CrashRecord.java
+++ b/org.oatlug/src/org/oatlug/internal/crash/CrashRecord.java
@@ -20,7 +20,7 @@
   /** The age that stands for a request that was never cleared. */
   static final long NEVER = -1;
 
-  /** The maximum length of the name of an upstream process, in characters. */
+  /** The maximum length of a process name, in characters; longer than that of any upstream. */
   private static final int MAXIMUM_NAME_LENGTH = 512;
 
   /** The maximum length of a subject, in characters. */
--- a/org.oatlug/src/org/oatlug/internal/limit/AdvertisedLimit.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/AdvertisedLimit.java
@@ -6,44 +6,46 @@
 import java.time.Duration;
 
 /**
- * What an answer of an upstream said of its rate limit, as instances report it to each other.
- * Immutable, thread-safe.
+ * The rate limit that an upstream advertised in a response, as instances exchange it. Immutable,
+ * thread-safe.
  *
- * <p>Ages are reported and not times of day, which differ between instances.
+ * <p>Ages are exchanged rather than times of day, because clocks differ between instances.
  *
  * @param requestsPerSecond the requests a second that the upstream accepts from all instances
- *     together, {@link #NONE} if it advertises no limit any more
- * @param ageMillis how long ago that was so, in milliseconds
+ *     together, {@link #NONE} if it no longer advertises a limit
+ * @param ageMillis how long ago the limit was observed, in milliseconds
  */
 public record AdvertisedLimit(double requestsPerSecond, long ageMillis) {
-  /** Stands for an upstream that advertises no limit. */
+  /** The rate that stands for an upstream that advertises no limit. */
   public static final double NONE = -1;
 
-  /** Longer than any observation is reported; with it sums of ages stay exact. */
-  private static final long MOST_AGE_MILLIS = Duration.ofHours(1).toMillis();
+  /** Longer than observations are reported; the bound keeps sums of ages exact. */
+  private static final long MAXIMUM_AGE_MILLIS = Duration.ofHours(1).toMillis();
 
-  /** Returns whether it can be applied. */
+  /** Returns whether the values are valid and can be applied. */
   public boolean isSound() {
     boolean isRate = Double.isFinite(requestsPerSecond) && requestsPerSecond >= 0;
-    boolean isAge = ageMillis >= 0 && ageMillis <= MOST_AGE_MILLIS;
+    boolean isAge = ageMillis >= 0 && ageMillis <= MAXIMUM_AGE_MILLIS;
     return (isRate || requestsPerSecond == NONE) && isAge;
   }
 
-  /** Returns the same some time later. */
-  public AdvertisedLimit aged(Duration passed) {
-    return new AdvertisedLimit(requestsPerSecond, ageMillis + passed.toMillis());
+  /** Returns the same limit with its age increased. */
+  public AdvertisedLimit aged(Duration elapsed) {
+    return new AdvertisedLimit(requestsPerSecond, ageMillis + elapsed.toMillis());
   }
 
-  /** Returns the newer of two reports of one upstream; of two of the same age the stricter. */
-  public static AdvertisedLimit newer(AdvertisedLimit one, AdvertisedLimit two) {
-    if (one.ageMillis != two.ageMillis) {
-      return one.ageMillis < two.ageMillis ? one : two;
+  /**
+   * Returns the newer of two reports on the same upstream, the stricter if their ages are equal.
+   */
+  public static AdvertisedLimit newer(AdvertisedLimit first, AdvertisedLimit second) {
+    if (first.ageMillis != second.ageMillis) {
+      return first.ageMillis < second.ageMillis ? first : second;
     }
-    return isStricter(two.requestsPerSecond, one.requestsPerSecond) ? two : one;
+    return isStricter(second.requestsPerSecond, first.requestsPerSecond) ? second : first;
   }
 
-  /** Returns whether a limit accepts less than another one; either may be {@link #NONE}. */
-  static boolean isStricter(double limit, double than) {
-    return limit != NONE && (than == NONE || limit < than);
+  /** Returns whether a limit is lower than a reference; either may be {@link #NONE}. */
+  static boolean isStricter(double limit, double reference) {
+    return limit != NONE && (reference == NONE || limit < reference);
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/limit/AdvertisedLimits.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/AdvertisedLimits.java
@@ -15,39 +15,40 @@
 import org.oatlug.internal.util.BoundedMap;
 
 /**
- * The rate limits that upstreams advertise in their answers, by start of an upstream.
+ * Holds the rate limits that upstreams advertise in their responses, by upstream process.
  *
- * <p>An upstream numbers nothing, so of two observations the later one is valid: a limit counts
- * from when its answer came, the absence of one from when the request of that answer was written. A
- * late answer to an early request so does not end a limit. Of two at one moment the stricter is
- * valid. Only what this instance observed is reported to others, so reports do not circulate.
+ * <p>Responses carry no sequence number, so the later of two observations is valid: a limit dates
+ * from the arrival of its response, the absence of a limit from the time when the request was
+ * written. A late response to an early request thus does not end a limit. Of two observations at
+ * the same time the stricter is valid. Only observations of this instance are reported to others,
+ * so reports do not circulate.
  *
- * <p>Invariants: a limit stays valid until a later observation of the same start; that is only made
- * where requests are sent, so an upstream with a limit has to be asked now and then. Memory is
+ * <p>Invariants: a limit stays valid until a later observation of the same upstream process; only
+ * requests yield observations, so a limited upstream must be probed periodically. Memory is
  * bounded. Owned by one event loop, not thread-safe.
  */
 public final class AdvertisedLimits {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** For how long an own observation is reported, and for how long an ended limit is confirmed. */
+  /** How long an observation of this instance is reported and an ended limit is confirmed. */
   static final Duration REPORTED_FOR = Duration.ofSeconds(30);
 
-  /** Upstreams that advertise limits at once at the design size. */
-  private static final int MOST_UPSTREAMS = 2048;
+  /** The maximum upstreams that advertise limits at the same time at the design size. */
+  private static final int MAXIMUM_UPSTREAMS = 2048;
 
-  /** At most a line each so many milliseconds tells of limits. */
-  private static final int LINE_MILLIS = 20;
+  /** The minimum interval between log lines about limits, in milliseconds. */
+  private static final int LOG_PERIOD_MILLIS = 20;
 
   private final InstantSource clock;
-  private final Map<String, Observation> valid = BoundedMap.ofMost(MOST_UPSTREAMS);
-  private final Map<String, Observation> own = BoundedMap.ofMost(MOST_UPSTREAMS);
+  private final Map<String, Observation> valid = BoundedMap.ofMost(MAXIMUM_UPSTREAMS);
+  private final Map<String, Observation> own = BoundedMap.ofMost(MAXIMUM_UPSTREAMS);
 
   /**
-   * What an upstream said.
+   * An observation of the limit of an upstream.
    *
-   * @param limit the limit, {@link AdvertisedLimit#NONE} for none
-   * @param since when that was first observed
-   * @param at when it was last observed
+   * @param limit the limit in requests per second, {@link AdvertisedLimit#NONE} for none
+   * @param since when this limit was first observed
+   * @param at when this limit was last observed
    */
   private record Observation(double limit, Instant since, Instant at) {
     static Observation of(AdvertisedLimit reported, Instant now) {
@@ -63,16 +64,16 @@
       return new AdvertisedLimit(limit, Math.max(0, Duration.between(at, now).toMillis()));
     }
 
-    /** Returns the valid one of this and a later report or answer. */
-    Observation or(Observation other) {
-      if (other.at.isBefore(at)) {
+    /** Returns the valid observation of this one and another report or response. */
+    Observation merge(Observation update) {
+      if (update.at.isBefore(at)) {
         return this;
       }
-      if (other.limit == limit) {
-        return new Observation(limit, since, other.at);
+      if (update.limit == limit) {
+        return new Observation(limit, since, update.at);
       }
-      boolean isTie = other.at.equals(at);
-      return isTie && AdvertisedLimit.isStricter(limit, other.limit) ? this : other;
+      boolean isTie = update.at.equals(at);
+      return isTie && AdvertisedLimit.isStricter(limit, update.limit) ? this : update;
     }
   }
 
@@ -80,7 +81,7 @@
     this.clock = clock;
   }
 
-  /** Returns the limits of upstreams that advertised none yet. */
+  /** Returns an empty collection of limits. */
   public static AdvertisedLimits create(InstantSource clock) {
     return new AdvertisedLimits(clock);
   }
@@ -94,13 +95,13 @@
   public Optional<AdvertisedLimit> find(String upstream) {
     return Optional.ofNullable(valid.get(upstream))
         .filter(Observation::isLimit)
-        .map(known -> known.asOf(clock.instant()));
+        .map(observation -> observation.asOf(clock.instant()));
   }
 
   /**
-   * Applies an answer that advertises a limit.
+   * Applies a response that advertises a limit.
    *
-   * @param upstream the upstream that answered, with its start
+   * @param upstream the upstream process that responded
    * @param requestsPerSecond the requests a second that it accepts from all instances together
    */
   public void advertised(String upstream, double requestsPerSecond) {
@@ -109,38 +110,39 @@
   }
 
   /**
-   * Applies an answer that advertises no limit.
+   * Applies a response that advertises no limit.
    *
-   * @param upstream the upstream that answered, with its start
-   * @param written when the request that it answers was written
+   * @param upstream the upstream process that responded
+   * @param written when the request was written
    */
   public void notAdvertised(String upstream, Instant written) {
-    Observation known = valid.get(upstream);
-    if (known == null || isEndedLongAgo(known)) {
+    Observation current = valid.get(upstream);
+    if (current == null || isEndConfirmed(current)) {
       return;
     }
     observe(upstream, new Observation(AdvertisedLimit.NONE, written, written));
   }
 
-  /** Returns whether every instance had the time to learn that the limit has ended. */
-  private boolean isEndedLongAgo(Observation known) {
-    return !known.isLimit() && known.since().plus(REPORTED_FOR).isBefore(clock.instant());
+  /** Returns whether the end of a limit was reported long enough to reach every instance. */
+  private boolean isEndConfirmed(Observation observation) {
+    return !observation.isLimit()
+        && observation.since().plus(REPORTED_FOR).isBefore(clock.instant());
   }
 
   private void observe(String upstream, Observation observation) {
     Observation before = own.get(upstream);
-    own.put(upstream, before == null ? observation : before.or(observation));
-    apply(upstream, observation, "an answer");
+    own.put(upstream, before == null ? observation : before.merge(observation));
+    apply(upstream, observation, "a response");
   }
 
   private void apply(String upstream, Observation observation, String source) {
     Observation before = valid.get(upstream);
-    Observation after = before == null ? observation : before.or(observation);
+    Observation after = before == null ? observation : before.merge(observation);
     valid.put(upstream, after);
-    boolean isKnown = before == null ? !after.isLimit() : before.limit() == after.limit();
-    if (!isKnown) {
-      logger.atInfo().atMostEvery(LINE_MILLIS, TimeUnit.MILLISECONDS).log(
-          "upstream %s accepts %s, age=%d by %s",
+    boolean isUnchanged = before == null ? !after.isLimit() : before.limit() == after.limit();
+    if (!isUnchanged) {
+      logger.atInfo().atMostEvery(LOG_PERIOD_MILLIS, TimeUnit.MILLISECONDS).log(
+          "upstream %s accepts %s, age %d ms, from %s",
           upstream,
           after.isLimit() ? after.limit() + " requests a second" : "any rate",
           Duration.between(after.at(), clock.instant()).toMillis(),
@@ -148,16 +150,16 @@
     }
   }
 
-  /** Returns what this instance observed itself and others may not know. */
+  /** Returns the recent observations of this instance, to be reported to others. */
   public Map<String, AdvertisedLimit> observed() {
     Instant now = clock.instant();
-    own.values().removeIf(one -> one.at().plus(REPORTED_FOR).isBefore(now));
+    own.values().removeIf(observation -> observation.at().plus(REPORTED_FOR).isBefore(now));
     Map<String, AdvertisedLimit> observed = new TreeMap<>();
-    own.forEach((upstream, one) -> observed.put(upstream, one.asOf(now)));
+    own.forEach((upstream, observation) -> observed.put(upstream, observation.asOf(now)));
     return observed;
   }
 
-  /** Applies what other instances observed. */
+  /** Applies the observations of other instances. */
   public void applyReported(Map<String, AdvertisedLimit> reported) {
     Instant now = clock.instant();
     reported.forEach((upstream, limit) -> apply(upstream, Observation.of(limit, now), "a report"));
--- a/org.oatlug/src/org/oatlug/internal/limit/AdvertisedRate.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/AdvertisedRate.java
@@ -8,18 +8,18 @@
 import java.util.regex.Pattern;
 
 /**
- * Parses the requests a second that an upstream accepts from all instances together, as its answers
- * advertise them. Stateless, thread-safe.
+ * Parses the requests a second that an upstream accepts from all instances together, as advertised
+ * in its responses. Stateless, thread-safe.
  */
 public final class AdvertisedRate {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final Pattern RATE = Pattern.compile("\\d{1,9}(\\.\\d{0,9})?|\\.\\d{1,9}");
   private static final Pattern NEGATIVE_RATE = Pattern.compile("-[\\d.]{1,20}");
 
-  /** More than any upstream gets, so that arithmetic with it stays exact. */
-  private static final double HIGHEST_PER_SECOND = 10_000;
+  /** Higher than the rate at any upstream; the bound keeps arithmetic exact. */
+  private static final double MAXIMUM_PER_SECOND = 10_000;
 
-  /** The rate for a malformed value: the upstream is overloaded, or it would send none. */
+  /** The rate for a malformed value: only an overloaded upstream sends the header. */
   private static final double MALFORMED_PER_SECOND = 1;
 
   private static final int LOG_PERIOD_SECONDS = 1;
@@ -34,18 +34,18 @@
   public static double parse(String header) {
     String text = header.trim();
     if (NEGATIVE_RATE.matcher(text).matches()) {
-      return replaced(text, 0);
+      return logReplacement(text, 0);
     }
     if (!RATE.matcher(text).matches()) {
-      return replaced(text, MALFORMED_PER_SECOND);
+      return logReplacement(text, MALFORMED_PER_SECOND);
     }
-    double asked = Double.parseDouble(text);
-    return asked > HIGHEST_PER_SECOND ? replaced(text, HIGHEST_PER_SECOND) : asked;
+    double rate = Double.parseDouble(text);
+    return rate > MAXIMUM_PER_SECOND ? logReplacement(text, MAXIMUM_PER_SECOND) : rate;
   }
 
-  private static double replaced(String text, double read) {
+  private static double logReplacement(String text, double rate) {
     logger.atWarning().atMostEvery(LOG_PERIOD_SECONDS, TimeUnit.SECONDS).log(
-        "advertised limit '%.40s' is read as %s requests a second", text, read);
-    return read;
+        "advertised limit '%.40s' is replaced by %s requests per second", text, rate);
+    return rate;
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/limit/AskedRest.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/AskedRest.java
@@ -9,8 +9,8 @@
 import java.util.regex.Pattern;
 
 /**
- * The rest that an upstream asks for when it refuses a request, as the header {@code Retry-After}
- * says it. Stateless, thread-safe.
+ * Parses the header {@code Retry-After}, the time for which an upstream that refused a request asks
+ * to receive no more. Stateless, thread-safe.
  */
 public final class AskedRest {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -18,37 +18,37 @@
   private static final Pattern SECONDS = Pattern.compile("\\d{1,9}(\\.\\d{1,9})?");
   private static final Pattern NEGATIVE_SECONDS = Pattern.compile("-\\d{1,9}(\\.\\d{1,9})?");
 
-  /** The longest rest that is granted, so that a slip of an upstream does not lose it for hours. */
-  private static final Duration LONGEST = Duration.ofMinutes(2);
+  /** The maximum delay, so that a faulty value does not exclude an upstream for hours. */
+  private static final Duration MAXIMUM = Duration.ofMinutes(2);
 
-  /** The rest for a wish that cannot be read: it was refused, and something was asked for. */
-  private static final Duration UNREAD = Duration.ofSeconds(1);
+  /** The delay for a malformed value: the upstream refused a request and asked for some delay. */
+  private static final Duration MALFORMED = Duration.ofSeconds(1);
 
-  /** At most a line each so many seconds tells of odd wishes. */
-  private static final int ODD_LINES_SECONDS = 1;
+  /** The minimum interval between log lines about replaced values, in seconds. */
+  private static final int LOG_PERIOD_SECONDS = 1;
 
   private AskedRest() {}
 
   /**
-   * Returns the rest that is granted.
+   * Returns the delay, zero or more and bounded.
    *
    * @param header the value of the header, seconds with or without a fraction
    */
   public static Duration of(String header) {
     String text = header.trim();
     if (NEGATIVE_SECONDS.matcher(text).matches()) {
-      return odd(text, Duration.ZERO);
+      return logReplacement(text, Duration.ZERO);
     }
     if (!SECONDS.matcher(text).matches()) {
-      return odd(text, UNREAD);
+      return logReplacement(text, MALFORMED);
     }
-    Duration asked = Duration.ofNanos((long) (Double.parseDouble(text) * NANOS_PER_SECOND));
-    return asked.compareTo(LONGEST) > 0 ? odd(text, LONGEST) : asked;
+    Duration delay = Duration.ofNanos((long) (Double.parseDouble(text) * NANOS_PER_SECOND));
+    return delay.compareTo(MAXIMUM) > 0 ? logReplacement(text, MAXIMUM) : delay;
   }
 
-  private static Duration odd(String text, Duration granted) {
-    logger.atWarning().atMostEvery(ODD_LINES_SECONDS, TimeUnit.SECONDS).log(
-        "rest of '%.40s' is taken for %d millis", text, granted.toMillis());
-    return granted;
+  private static Duration logReplacement(String text, Duration delay) {
+    logger.atWarning().atMostEvery(LOG_PERIOD_SECONDS, TimeUnit.SECONDS).log(
+        "Retry-After of '%.40s' is replaced by %d ms", text, delay.toMillis());
+    return delay;
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/limit/CapacityRule.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/CapacityRule.java
@@ -7,33 +7,33 @@
 import org.oatlug.internal.table.UpstreamRow;
 import org.oatlug.internal.table.UpstreamTable;
 
-/** Says which upstreams have no place now; implementations keep no state. */
+/** Decides whether an upstream is full; implementations are stateless. */
 @FunctionalInterface
 public interface CapacityRule {
-  /** How many requests may wait at an upstream, as a share of its slots. */
-  double WAITING_SHARE = 0.25;
+  /** The maximum requests that queue at an upstream, as a share of its slots. */
+  double QUEUE_SHARE = 0.25;
 
   /**
-   * Returns whether a request had to wait at the upstream.
+   * Returns whether the upstream can take no further request.
    *
-   * @param table what is known of all upstreams
-   * @param row what is known of this one
-   * @param upstream its configuration
+   * @param table the state of all upstreams
+   * @param row the state of this upstream
+   * @param upstream the configuration of this upstream
    */
   boolean isFull(UpstreamTable table, UpstreamRow row, Upstream upstream);
 
   /**
-   * Returns the rule that an upstream is full when its slots are, and a few requests wait.
+   * Returns the rule that an upstream is full when its slots are taken and a few requests queue.
    *
-   * <p>The few bridge the time in which an instance learns that a slot is free; more of them would
-   * bind requests to one upstream while another one has a free slot.
+   * <p>The short queue covers the delay until an instance learns of a free slot; a longer one would
+   * bind requests to this upstream while another has a free slot.
    */
   static CapacityRule slotsAndFewWaiting() {
     return (table, row, upstream) ->
-        table.estimatedLoad(row) >= upstream.slots() * (1 + WAITING_SHARE);
+        table.estimatedLoad(row) >= upstream.slots() * (1 + QUEUE_SHARE);
   }
 
-  /** Returns the rule that no upstream is ever full. */
+  /** Returns the rule that no upstream is full. */
   static CapacityRule unbounded() {
     return (table, row, upstream) -> false;
   }
--- a/org.oatlug/src/org/oatlug/internal/limit/OpenRequests.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/OpenRequests.java
@@ -4,14 +4,14 @@
 package org.oatlug.internal.limit;
 
 /**
- * The requests that are open, and whether new ones are admitted.
+ * Counts open requests and admits new ones.
  *
- * <p>As the count nears its bound, requests of low priority are shed first. Owned by one event
+ * <p>As the count approaches its bound, requests of low priority are shed first. Owned by one event
  * loop, not thread-safe.
  */
 public final class OpenRequests {
   private static final int PRIORITIES = 10;
-  private static final double SHED_FROM = 0.7;
+  private static final double SHEDDING_SHARE = 0.7;
 
   private final int bound;
   private int open;
@@ -21,24 +21,24 @@
     this.bound = bound;
   }
 
-  /** Returns an admission of at most {@code bound} requests at once. */
+  /** Returns a counter that admits at most {@code bound} open requests. */
   public static OpenRequests withBound(int bound) {
     return new OpenRequests(bound);
   }
 
-  /** Whether a request is admitted. */
+  /** The result of an admission. */
   public enum Result {
     ADMITTED,
     OVERLOADED,
     STOPPING
   }
 
-  /** Admits a request of a priority from 0 to 9, which then has to be closed, or does not. */
+  /** Admits or rejects a request of a priority from 0 to 9; an admitted one must be closed. */
   public Result admit(int priority) {
     if (stopping) {
       return Result.STOPPING;
     }
-    double share = SHED_FROM + (1 - SHED_FROM) * (priority + 1) / PRIORITIES;
+    double share = SHEDDING_SHARE + (1 - SHEDDING_SHARE) * (priority + 1) / PRIORITIES;
     if (open >= bound * share) {
       return Result.OVERLOADED;
     }
@@ -51,7 +51,7 @@
     open--;
   }
 
-  /** Admits nothing any more. */
+  /** Stops the admission of requests. */
   public void stop() {
     stopping = true;
   }
--- a/org.oatlug/src/org/oatlug/internal/limit/RankedSenders.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/RankedSenders.java
@@ -23,75 +23,75 @@
 /**
  * Assigns each upstream the first few instances of its availability zone, by rendezvous rank.
  *
- * <p>Load pattern: the upstreams of a whole zone come back together, cold, and the instances that
- * could send to them are cut off from each other, have just started or stand still. Instances have
- * to agree on the few without asking each other. An instance that sees half of the others or fewer
- * sends nothing, because the others may do so; nor does one that has just started and knows too
- * few.
+ * <p>Load pattern: all upstreams of a zone restart together with cold caches, while the instances
+ * that could send to them are partitioned, have just started or are paused. Instances must agree on
+ * the few senders without communication. An instance that sees half of the others or fewer sends
+ * nothing, because the others may send; an instance that has just started and knows too few others
+ * does not send either.
  *
- * <p>For cold upstreams all are ranked that were ever live in the zone and not only those that are
- * seen now: who is cut off ranks the same ones, and what is lost with an instance that is gone is
- * lost for seconds. A limit that an upstream advertises may last for long and ends only by an
- * answer, so for these the live ones are ranked, those of other zones if the zone has none.
+ * <p>For cold upstreams all remembered instances of the zone are ranked, not only the live ones:
+ * partitioned instances then rank the same set, and the share of a lost instance is missing only
+ * for seconds. An advertised limit may last long and ends only with a response, so for limited
+ * upstreams the live instances are ranked, those of other zones if the zone has none.
  *
- * <p>Invariant: two instances that both see more than half of the zone differ in rank only by those
- * that joined, left or were forgotten in between. Used from one event loop.
+ * <p>Invariant: two instances that both see more than half of the zone differ in rank only by the
+ * instances that joined, left or expired in between. Used from one event loop.
  */
 public final class RankedSenders implements TickSystem {
-  /** How often it is noted who is live; membership itself changes within seconds. */
-  private static final Duration PAUSE = Duration.ofSeconds(1);
+  /** The interval between updates from the membership, which itself changes within seconds. */
+  private static final Duration UPDATE_INTERVAL = Duration.ofSeconds(1);
 
   /**
-   * How long an instance that started sends nothing: it meets the others and they it within about a
-   * second, several times this often with lost messages.
+   * How long an instance sends nothing after its start: several times the second that discovery in
+   * both directions takes, to allow for lost messages.
    */
-  static final Duration SETTLED_AFTER = Duration.ofSeconds(5);
+  static final Duration SETTLING_TIME = Duration.ofSeconds(5);
 
-  /** How long an instance counts that is not live any more: longer than zones are cut off. */
+  /** How long an instance is remembered after it was live: longer than partitions of a zone. */
   static final Duration REMEMBERED = Duration.ofMinutes(10);
 
   /**
-   * How long an instance that is not live counts in the majority that is needed to send to an
-   * upstream with an advertised limit: longer than a restart takes, so that replaced instances do
-   * not block those that replace them.
+   * How long an instance that is not live counts towards the majority that is required to send to
+   * an upstream with an advertised limit: longer than a restart, yet short enough that replaced
+   * instances do not block their successors.
    */
   private static final Duration COUNTED = Duration.ofMinutes(1);
 
-  /** Several times the instances of the design size, which is about 1,300. */
-  private static final int MOST_REMEMBERED = 8192;
+  /** Several times the instances at the design size, which is about 1,300. */
+  private static final int MAXIMUM_REMEMBERED = 8192;
 
-  /** Upstreams whose rank is kept until somebody joins; all that are cold at the design size. */
-  private static final int MOST_RANKED = 2048;
+  /** The maximum cached ranks; enough for all upstreams that are cold at the design size. */
+  private static final int MAXIMUM_RANKS = 2048;
 
   private final String self;
   private final Supplier<List<Member>> live;
   private final BooleanSupplier knowsOfOthers;
   private final InstantSource clock;
   private final Instant startedAt;
-  private final Map<String, Seen> roster = BoundedMap.ofMost(MOST_REMEMBERED);
-  private final Map<String, Integer> ranks = BoundedMap.ofMost(MOST_RANKED);
-  private final Map<String, Integer> liveRanks = BoundedMap.ofMost(MOST_RANKED);
+  private final Map<String, LastSeen> roster = BoundedMap.ofMost(MAXIMUM_REMEMBERED);
+  private final Map<String, Integer> ranks = BoundedMap.ofMost(MAXIMUM_RANKS);
+  private final Map<String, Integer> liveRanks = BoundedMap.ofMost(MAXIMUM_RANKS);
   private final Map<String, Zone> zones = new HashMap<>();
 
-  /** All instances, for upstreams of a zone that never had one. */
-  private Zone everywhere = Zone.NOBODY;
+  /** The instances of all zones, for upstreams of a zone without instances. */
+  private Zone allZones = Zone.EMPTY;
 
   private Set<String> liveNames = Set.of();
-  private Instant nextLook = Instant.EPOCH;
+  private Instant nextUpdate = Instant.EPOCH;
 
-  /** Where and when an instance was live. */
-  private record Seen(String zone, Instant at) {}
+  /** The zone of an instance and the time when it was last live. */
+  private record LastSeen(String zone, Instant at) {}
 
   /**
-   * The instances of a zone, or of all.
+   * The instances of one zone, or of all zones.
    *
-   * @param names those that were ever live
-   * @param mostAreSeen whether more than half of them are live now
-   * @param live those that are live now
-   * @param counted how many were live of late
+   * @param names the remembered instances
+   * @param mostAreLive whether more than half of the remembered instances are live
+   * @param live the live instances
+   * @param counted the number of instances that were live within {@link #COUNTED}
    */
-  private record Zone(List<String> names, boolean mostAreSeen, List<String> live, int counted) {
-    static final Zone NOBODY = new Zone(List.of(), false, List.of(), 0);
+  private record Zone(List<String> names, boolean mostAreLive, List<String> live, int counted) {
+    static final Zone EMPTY = new Zone(List.of(), false, List.of(), 0);
 
     boolean hasMajority() {
       return 2 * live.size() > counted;
@@ -115,11 +115,11 @@
   }
 
   /**
-   * Returns the senders as an instance that starts now sees them.
+   * Returns the senders as seen by an instance that starts now.
    *
    * @param self the name of this instance
-   * @param live the instances that are believed to live, this one included
-   * @param knowsOfOthers whether other instances are known, if only by an address
+   * @param live the instances considered live, including this instance
+   * @param knowsOfOthers whether any other instance is known, at least by its address
    */
   public static RankedSenders create(
       String self,
@@ -132,98 +132,99 @@
   @Override
   public void tick() {
     Instant now = clock.instant();
-    if (now.isBefore(nextLook)) {
+    if (now.isBefore(nextUpdate)) {
       return;
     }
-    nextLook = now.plus(PAUSE);
-    List<Member> seen = live.get();
+    nextUpdate = now.plus(UPDATE_INTERVAL);
+    List<Member> members = live.get();
     Set<String> before = Set.copyOf(roster.keySet());
-    seen.forEach(member -> roster.put(member.name(), new Seen(member.zone(), now)));
-    roster.values().removeIf(one -> now.isAfter(one.at().plus(REMEMBERED)));
+    members.forEach(member -> roster.put(member.name(), new LastSeen(member.zone(), now)));
+    roster.values().removeIf(seen -> now.isAfter(seen.at().plus(REMEMBERED)));
     if (!before.equals(roster.keySet())) {
       ranks.clear();
     }
-    Set<String> names = seen.stream().map(Member::name).collect(Collectors.toUnmodifiableSet());
+    Set<String> names = members.stream().map(Member::name).collect(Collectors.toUnmodifiableSet());
     if (!names.equals(liveNames)) {
       liveNames = names;
       liveRanks.clear();
     }
     zones.clear();
     roster.values().stream()
-        .map(Seen::zone)
+        .map(LastSeen::zone)
         .distinct()
-        .forEach(zone -> zones.put(zone, view(one -> one.zone().equals(zone), now)));
-    everywhere = view(unused -> true, now);
+        .forEach(zone -> zones.put(zone, zoneOf(seen -> seen.zone().equals(zone), now)));
+    allZones = zoneOf(unused -> true, now);
   }
 
-  private Zone view(Predicate<Seen> isIn, Instant now) {
+  private Zone zoneOf(Predicate<LastSeen> predicate, Instant now) {
     List<String> names = new ArrayList<>();
-    List<String> seen = new ArrayList<>();
+    List<String> liveInZone = new ArrayList<>();
     int counted = 0;
-    for (Map.Entry<String, Seen> entry : roster.entrySet()) {
-      if (isIn.test(entry.getValue())) {
+    for (Map.Entry<String, LastSeen> entry : roster.entrySet()) {
+      if (predicate.test(entry.getValue())) {
         names.add(entry.getKey());
         counted += now.isAfter(entry.getValue().at().plus(COUNTED)) ? 0 : 1;
         if (liveNames.contains(entry.getKey())) {
-          seen.add(entry.getKey());
+          liveInZone.add(entry.getKey());
         }
       }
     }
-    return new Zone(names, 2 * seen.size() > names.size(), seen, counted);
+    return new Zone(names, 2 * liveInZone.size() > names.size(), liveInZone, counted);
   }
 
-  /** Returns the senders that all instances agree on. */
+  /** Returns the senders of cold and of limited upstreams. */
   public RateSenders senders() {
     return new RateSenders(ofColdUpstreams(), ofLimitedUpstreams());
   }
 
-  /** Returns the senders of cold upstreams, whose limit holds for a few seconds. */
+  /** Returns the senders of cold upstreams, whose limit lasts a few seconds. */
   SenderSelection ofColdUpstreams() {
-    return (upstream, zone, most, turn) -> {
-      Zone near = zones.getOrDefault(zone, everywhere);
-      if (!isSettled() || !near.mostAreSeen()) {
+    return (upstream, zone, maximum, rotation) -> {
+      Zone local = zones.getOrDefault(zone, allZones);
+      if (!isSettled() || !local.mostAreLive()) {
         return 0;
       }
-      int rank = ranks.computeIfAbsent(upstream, name -> rank(name, near.names()));
-      return sharers(rank, most, turn, near.names().size());
+      int rank = ranks.computeIfAbsent(upstream, name -> rank(name, local.names()));
+      return senderCount(rank, maximum, rotation, local.names().size());
     };
   }
 
-  /** Returns the senders of upstreams that advertise a limit, which holds until they say so. */
+  /** Returns the senders of upstreams with an advertised limit, which lasts until it is revoked. */
   SenderSelection ofLimitedUpstreams() {
-    return (upstream, zone, most, turn) -> {
-      Zone senders = sendersOf(zones.getOrDefault(zone, Zone.NOBODY));
+    return (upstream, zone, maximum, rotation) -> {
+      Zone senders = limitedSenders(zones.getOrDefault(zone, Zone.EMPTY));
       if (!isSettled() || senders.live().isEmpty()) {
         return 0;
       }
       int rank = liveRanks.computeIfAbsent(upstream, name -> rank(name, senders.live()));
-      return sharers(rank, most, turn, senders.live().size());
+      return senderCount(rank, maximum, rotation, senders.live().size());
     };
   }
 
   /**
-   * Returns the instances that send to limited upstreams of a zone, nobody if others may take
-   * themselves for these. Of two halves of a zone the one that is with most of all others sends.
+   * Returns the instances that send to limited upstreams of a zone; none if instances outside this
+   * partition may send. Of two equal halves of a zone, the half that sees the majority of all
+   * instances sends.
    */
-  private Zone sendersOf(Zone near) {
-    boolean withMost = everywhere.hasMajority();
-    if (near.live().isEmpty()) {
-      return withMost ? everywhere : Zone.NOBODY;
+  private Zone limitedSenders(Zone local) {
+    boolean seesMajority = allZones.hasMajority();
+    if (local.live().isEmpty()) {
+      return seesMajority ? allZones : Zone.EMPTY;
     }
-    return near.hasMajority() || near.hasHalf() && withMost ? near : Zone.NOBODY;
+    return local.hasMajority() || local.hasHalf() && seesMajority ? local : Zone.EMPTY;
   }
 
   private boolean isSettled() {
     boolean alone = roster.size() <= 1 && knowsOfOthers.getAsBoolean();
-    return !alone && !clock.instant().isBefore(startedAt.plus(SETTLED_AFTER));
+    return !alone && !clock.instant().isBefore(startedAt.plus(SETTLING_TIME));
   }
 
   private int rank(String upstream, List<String> names) {
     return Hashes.rendezvous(upstream, names).indexOf(self);
   }
 
-  private static int sharers(int rank, int most, long turn, int instances) {
-    long place = Math.floorMod(rank - turn * most, (long) instances);
-    return rank >= 0 && place < most ? Math.min(most, instances) : 0;
+  private static int senderCount(int rank, int maximum, long rotation, int instances) {
+    long position = Math.floorMod(rank - rotation * maximum, (long) instances);
+    return rank >= 0 && position < maximum ? Math.min(maximum, instances) : 0;
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/limit/RateSenders.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/RateSenders.java
@@ -4,11 +4,11 @@
 package org.oatlug.internal.limit;
 
 /**
- * Which instances send to upstreams whose rate is limited. Immutable; its parts belong to one event
- * loop.
+ * The selections of the instances that send to upstreams with a limited rate. Immutable; the
+ * selections are used from one event loop.
  *
- * @param ofCold to those that have just started
- * @param ofLimited to those that advertise a limit
+ * @param ofCold the senders to upstreams that have just started
+ * @param ofLimited the senders to upstreams that advertise a limit
  */
 public record RateSenders(SenderSelection ofCold, SenderSelection ofLimited) {
   /** Returns the senders of a single instance. */
--- a/org.oatlug/src/org/oatlug/internal/limit/RetryBudget.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/RetryBudget.java
@@ -6,10 +6,10 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Allows retries as a share of first tries.
+ * Limits retries to a share of first attempts.
  *
- * <p>Invariant: retries never exceed the share of first tries plus a small reserve, so that retries
- * cannot multiply an overload. Owned by one event loop, not thread-safe.
+ * <p>Invariant: retries never exceed the share of first attempts plus a small reserve, so that
+ * retries cannot amplify an overload. Owned by one event loop, not thread-safe.
  */
 public final class RetryBudget {
   private static final double SHARE = 0.2;
@@ -25,27 +25,27 @@
     this.balance = balance;
   }
 
-  /** Returns a budget with its reserve. */
+  /** Returns a budget with a full reserve. */
   public static RetryBudget create() {
     return new RetryBudget(SHARE, () -> RESERVE, RESERVE);
   }
 
   /**
-   * Returns a budget that begins with one retry; the rest of its reserve is earned by first tries.
+   * Returns a budget that starts with one retry and earns its reserve by first attempts.
    *
-   * @param share the retries that each first try adds
-   * @param reserve the most retries that are kept for later, asked for anew each time
+   * @param share the retries that each first attempt adds
+   * @param reserve supplies the current maximum of accumulated retries
    */
   public static RetryBudget earned(double share, DoubleSupplier reserve) {
     return new RetryBudget(share, reserve, 1);
   }
 
-  /** Counts a first try. */
+  /** Counts a first attempt. */
   public void firstTry() {
     balance = Math.min(reserve.getAsDouble(), balance + share);
   }
 
-  /** Takes a retry out of the budget, if it allows one. */
+  /** Takes a retry from the budget; returns whether it allowed one. */
   public boolean takeRetry() {
     balance = Math.min(reserve.getAsDouble(), balance);
     if (balance < 1) {
--- a/org.oatlug/src/org/oatlug/internal/limit/SenderSelection.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/SenderSelection.java
@@ -4,23 +4,23 @@
 package org.oatlug.internal.limit;
 
 /**
- * Assigns an upstream the few instances that may send requests to it while its rate is limited.
+ * Selects the few instances that may send requests to an upstream while its rate is limited.
  *
  * <p>Implementations are used from one event loop.
  */
 @FunctionalInterface
 public interface SenderSelection {
   /** A single instance is the only sender of every upstream. */
-  SenderSelection ALONE = (upstream, zone, most, turn) -> 1;
+  SenderSelection ALONE = (upstream, zone, maximum, rotation) -> 1;
 
   /**
-   * Returns among how many instances, this one included, the rate of the upstream is divided; zero
+   * Returns the number of instances, including this one, that share the rate of the upstream; zero
    * if this instance is not one of them.
    *
-   * @param upstream the upstream with its start
-   * @param zone its availability zone
-   * @param most the most instances that may send
-   * @param turn how often others take over from those that should send and have nothing to send
+   * @param upstream the upstream process
+   * @param zone the availability zone of the upstream
+   * @param maximum the maximum number of senders
+   * @param rotation the number of times that other instances took over from idle senders
    */
-  int sharers(String upstream, String zone, int most, long turn);
+  int senderCount(String upstream, String zone, int maximum, long rotation);
 }
--- a/org.oatlug/src/org/oatlug/internal/limit/SharedRateLimit.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/SharedRateLimit.java
@@ -14,49 +14,50 @@
 /**
  * Limits the rate of requests that all instances together send to an upstream.
  *
- * <p>Load pattern: upstreams restart together with cold caches and look like the best choice, or
- * one that is overloaded advertises the rate that it accepts. A limit that each instance applied
- * for itself would be exceeded by as many times as there are instances. Each upstream is assigned a
- * few senders, see {@link SenderSelection}, each of which may send a part of the rate; the others
- * skip it. Two sets of senders may be active for a moment after the membership changed, because the
- * change is not seen by all at once; so there are fewer senders than the limit leaves room for.
+ * <p>Load pattern: upstreams restart together with cold caches and appear to be the best choice, or
+ * an overloaded upstream advertises the rate that it accepts. If each instance applied the limit
+ * independently, the total rate would be the limit times the number of instances. Therefore each
+ * upstream is assigned a few senders, see {@link SenderSelection}, each of which may use a part of
+ * the rate; other instances skip the upstream. After a membership change two sets of senders may be
+ * active for a moment, because instances do not see the change at the same time, so the number of
+ * senders stays below what the limit allows.
  *
  * <p>Invariant: in any window this instance writes at most the requests of its share, counted by
- * when they are written. Memory is bounded. Pure but for its counts; the clock is passed in. Used
- * from one event loop.
+ * the time of writing. Memory is bounded. The clock is passed in. Used from one event loop.
  */
 public final class SharedRateLimit {
   /**
-   * What one instance may send to a cold upstream in any second. More would leave fewer senders,
-   * and one that is lost would matter more; with one, a cold zone is served by twice as many.
+   * The maximum requests that one instance sends to a cold upstream in any second. A higher value
+   * would leave fewer senders, so that the loss of one matters more; with a value of one, a cold
+   * zone would have twice as many senders.
    */
-  static final int MOST_COLD_PER_SECOND = 2;
+  static final int MAXIMUM_COLD_PER_SECOND = 2;
 
   /**
-   * The rate at which an upstream that accepts less is asked all the same: only an answer tells
-   * that its limit has ended.
+   * The minimum rate, in requests a second, at which a limited upstream is probed: only a response
+   * shows that its limit has ended.
    */
   public static final double PROBES_PER_SECOND = 0.5;
 
-  /** How long senders may have nothing to send: several times the pause between probes. */
+  /** How long senders may be idle before others take over: several times the probe interval. */
   public static final Duration TURN = Duration.ofSeconds(10);
 
-  /** How many sets of senders may be active at once. */
-  private static final int SETS_OF_SENDERS = 2;
+  /** The number of sets of senders that may be active at the same time. */
+  private static final int CONCURRENT_SENDER_SETS = 2;
 
   private static final Duration SECOND = Duration.ofSeconds(1);
 
-  /** The requests that one instance may send at once to an upstream that advertises a limit. */
-  private static final int MOST_IN_BURST = 2;
+  /** The maximum burst of one instance to an upstream that advertises a limit, in requests. */
+  private static final int MAXIMUM_BURST = 2;
 
-  /** The longest window of a share, that of a single sender which probes. */
-  private static final Duration LONGEST_WINDOW = secondsOf(MOST_IN_BURST / PROBES_PER_SECOND);
+  /** The maximum window of a share: that of a single sender at the probe rate. */
+  private static final Duration MAXIMUM_WINDOW = fromSeconds(MAXIMUM_BURST / PROBES_PER_SECOND);
 
-  /** Upstreams that are limited at once at the design size. */
-  private static final int MOST_UPSTREAMS = 2048;
+  /** The maximum upstreams that are limited at the same time at the design size. */
+  private static final int MAXIMUM_UPSTREAMS = 2048;
 
   private final SenderSelection senders;
-  private final Map<String, Window> windows = BoundedMap.ofMost(MOST_UPSTREAMS);
+  private final Map<String, Window> windows = BoundedMap.ofMost(MAXIMUM_UPSTREAMS);
 
   private SharedRateLimit(SenderSelection senders) {
     this.senders = senders;
@@ -67,77 +68,80 @@
     return new SharedRateLimit(senders);
   }
 
-  private static Duration secondsOf(double seconds) {
+  private static Duration fromSeconds(double seconds) {
     return Duration.ofNanos(Math.round(seconds * SECOND.toNanos()));
   }
 
   /**
    * An upstream whose rate is limited. Immutable.
    *
-   * @param upstream its name, with its start
-   * @param zone its availability zone
-   * @param senders how many instances may send at most
-   * @param turn how often other senders take over because no request was sent
-   * @param requests how many requests each of them may send in any window
-   * @param window how long the window is, by the number of those that send
+   * @param upstream the upstream process
+   * @param zone the availability zone of the upstream
+   * @param senders the maximum number of senders
+   * @param rotation the number of times that other instances took over from idle senders
+   * @param requests the maximum requests that each sender sends in any window
+   * @param window the length of the window, by the number of senders
    */
   public record Target(
       String upstream,
       String zone,
       int senders,
-      long turn,
+      long rotation,
       int requests,
       IntFunction<Duration> window) {
     /**
-     * Returns an upstream that has just started. Its limit holds for any second, and the senders
-     * use half of it; one that accepts less than a request a second gets nothing.
+     * Returns an upstream that has just started. Its limit applies to any second, and the senders
+     * use half of it; an upstream that accepts less than one request a second receives none.
      */
     public static Target cold(String upstream, String zone, double requestsPerSecond) {
-      int most = (int) Math.min(MOST_COLD_PER_SECOND, requestsPerSecond);
-      int senders = most == 0 ? 0 : (int) Math.max(1, requestsPerSecond / (SETS_OF_SENDERS * most));
-      return new Target(upstream, zone, senders, 0, most, unused -> SECOND);
+      int requests = (int) Math.min(MAXIMUM_COLD_PER_SECOND, requestsPerSecond);
+      int senders =
+          requests == 0
+              ? 0
+              : (int) Math.max(1, requestsPerSecond / (CONCURRENT_SENDER_SETS * requests));
+      return new Target(upstream, zone, senders, 0, requests, unused -> SECOND);
     }
 
     /**
-     * Returns an upstream that advertises a limit. Its senders use all of the rate, each in bursts
-     * of two at most, because requests do not come evenly spaced. With a sender for every two
-     * requests a second, the bursts of a set of senders amount to a second's requests. If nobody
-     * has heard of the limit for a while, the senders have no requests, and others take over.
+     * Returns an upstream that advertises a limit. Its senders use the full rate, each in bursts of
+     * at most two, because requests do not arrive evenly spaced. With one sender for every two
+     * requests a second, the bursts of a set of senders amount to the requests of one second. If
+     * the limit was not observed for a while, its senders are idle, and others take over.
      */
     public static Target advertised(String upstream, String zone, AdvertisedLimit limit) {
       double rate = Math.max(PROBES_PER_SECOND, limit.requestsPerSecond());
-      long turn = limit.ageMillis() / TURN.toMillis();
-      int senders = (int) Math.max(1, rate / SETS_OF_SENDERS);
+      long rotation = limit.ageMillis() / TURN.toMillis();
+      int senders = (int) Math.max(1, rate / CONCURRENT_SENDER_SETS);
       return new Target(
           upstream,
           zone,
           senders,
-          turn,
-          MOST_IN_BURST,
-          sharers -> secondsOf(MOST_IN_BURST * sharers / rate));
+          rotation,
+          MAXIMUM_BURST,
+          senderCount -> fromSeconds(MAXIMUM_BURST * senderCount / rate));
     }
   }
 
-  /** What was sent to one upstream. */
+  /** The requests written, and about to be written, to one upstream. */
   private static final class Window {
     private final Deque<Instant> written = new ArrayDeque<>();
     private int pending;
 
-    /** Returns what counts of the span before now, and what is about to be written. */
-    long taken(Duration span, Instant now) {
-      while (!written.isEmpty() && written.peek().plus(LONGEST_WINDOW).isBefore(now)) {
+    /** Returns the number of requests written within the span before now, plus those pending. */
+    long count(Duration span, Instant now) {
+      while (!written.isEmpty() && written.peek().plus(MAXIMUM_WINDOW).isBefore(now)) {
         written.remove();
       }
-      // What was written exactly a span ago may arrive together with what is written now.
+      // Inclusive, because a request written exactly one span ago may arrive with one written now.
       Instant from = now.minus(span);
       return written.stream().filter(at -> !at.isBefore(from)).count() + pending;
     }
   }
 
-  /** A reservation to write one request to a limited upstream, until it is written or released. */
+  /** Reserves one request to a limited upstream until it is written or released. */
   public static final class Permit {
     private final Window window;
-    private boolean used;
+    private boolean isClosed;
 
     private Permit(Window window) {
       this.window = window;
@@ -145,8 +149,8 @@
 
     /** Records that the request is written now. */
     public void written(Instant now) {
-      if (!used) {
-        used = true;
+      if (!isClosed) {
+        isClosed = true;
         window.pending--;
         window.written.add(now);
       }
@@ -154,26 +158,26 @@
 
     /** Releases the reservation if nothing was written. */
     public void release() {
-      if (!used) {
-        used = true;
+      if (!isClosed) {
+        isClosed = true;
         window.pending--;
       }
     }
   }
 
-  /** Returns whether this instance may send a request to the upstream now. */
+  /** Returns whether this instance may send a request to the upstream at the given time. */
   public boolean allows(Target target, Instant now) {
-    int sharers =
-        senders.sharers(target.upstream(), target.zone(), target.senders(), target.turn());
-    if (sharers == 0) {
+    int senderCount =
+        senders.senderCount(target.upstream(), target.zone(), target.senders(), target.rotation());
+    if (senderCount == 0) {
       return false;
     }
     Window window = windows.get(target.upstream());
-    long taken = window == null ? 0 : window.taken(target.window().apply(sharers), now);
-    return taken < target.requests();
+    long count = window == null ? 0 : window.count(target.window().apply(senderCount), now);
+    return count < target.requests();
   }
 
-  /** Reserves a request, after {@link #allows} said that it may be sent. */
+  /** Reserves a request; to be called only if {@link #allows} returned true. */
   public Permit acquire(Target target) {
     Window window = windows.computeIfAbsent(target.upstream(), unused -> new Window());
     window.pending++;
--- a/org.oatlug/src/org/oatlug/internal/limit/TokenBucket.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/TokenBucket.java
@@ -7,20 +7,20 @@
 import java.time.Instant;
 
 /**
- * A rate with a burst of one second.
+ * Limits a rate, with a burst of one second.
  *
- * <p>Invariant: over any span at most rate times span plus one burst is taken. Owned by one event
+ * <p>Invariant: within any span at most rate times span plus one burst is taken. Owned by one event
  * loop, not thread-safe.
  */
 public final class TokenBucket {
-  private static final double NANOS = 1e9;
+  private static final double NANOS_PER_SECOND = 1e9;
 
   private double tokens;
-  private Instant last;
+  private Instant refilledAt;
 
-  private TokenBucket(double tokens, Instant last) {
+  private TokenBucket(double tokens, Instant refilledAt) {
     this.tokens = tokens;
-    this.last = last;
+    this.refilledAt = refilledAt;
   }
 
   /** Returns a full bucket. */
@@ -28,11 +28,11 @@
     return new TokenBucket(burst(rate), now);
   }
 
-  /** Takes one token if there is one at {@code rate} a second. */
+  /** Refills the bucket at {@code rate} tokens a second and takes one; returns whether it could. */
   public boolean take(double rate, Instant now) {
-    double seconds = Duration.between(last, now).toNanos() / NANOS;
+    double seconds = Duration.between(refilledAt, now).toNanos() / NANOS_PER_SECOND;
     tokens = Math.min(burst(rate), tokens + seconds * rate);
-    last = now;
+    refilledAt = now;
     if (tokens < 1) {
       return false;
     }
@@ -40,10 +40,10 @@
     return true;
   }
 
-  /** Returns how long it takes until there is a token. */
+  /** Returns the time until the next token is available. */
   public Duration untilNext(double rate) {
     double missing = Math.max(0, 1 - tokens);
-    return Duration.ofNanos((long) (missing / rate * NANOS));
+    return Duration.ofNanos((long) (missing / rate * NANOS_PER_SECOND));
   }
 
   private static double burst(double rate) {
--- a/org.oatlug/src/org/oatlug/internal/limit/TurnLine.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/TurnLine.java
@@ -12,85 +12,86 @@
 import java.util.function.Predicate;
 
 /**
- * The requests that wait until this instance begins to work on them.
+ * Queues requests until this instance starts to process them.
  *
- * <p>Load pattern: an instance that has just started after a loss of all gets what its callers sent
- * meanwhile, and works on each request in several steps of its event loop. When all begin at once,
- * each step of each waits for a step of all others, and most callers have left before the first
- * answer. With one begun in a turn of the loop it goes through its steps without the others; with
- * the newest first once the oldest waits for long, those that still can be in time are, and those
- * that cannot do not delay them. Turns and not open connections are counted, because a way that is
- * cut keeps connections opening for as long as that lasts.
+ * <p>Load pattern: an instance that starts after a complete outage receives all requests that
+ * callers sent meanwhile, and processes each in several steps of its event loop. If all started at
+ * once, each step of a request would wait for a step of every other, and most callers would
+ * disconnect before the first response. If one request starts per iteration of the loop, it
+ * completes its steps without waiting for the others. Once the oldest request has waited too long,
+ * the newest starts first, so that requests that can still meet their deadlines are not delayed by
+ * those that cannot. Iterations are limited rather than connections being opened, because a network
+ * partition keeps connections in that state for as long as it lasts.
  *
- * <p>Invariants: one request at most begins in a turn of the event loop, which takes less than a
- * millisecond where nothing is choked; one that can no longer be served takes no turn. Owned by one
- * event loop, not thread-safe.
+ * <p>Invariants: at most one request starts per iteration of the event loop, which takes less than
+ * a millisecond without overload; a request that can no longer be served uses no iteration. Owned
+ * by one event loop, not thread-safe.
  *
  * @param <T> the type of requests
  */
 public final class TurnLine<T> {
-  /** A wait of many turns that are not choked; the oldest are then too late for short goals. */
-  private static final Duration CHOKED_AFTER = Duration.ofMillis(100);
+  /** Many iterations without overload; requests older than this miss short latency targets. */
+  private static final Duration OVERLOAD_WAIT = Duration.ofMillis(100);
 
   private final InstantSource clock;
   private final Executor eventLoop;
-  private final Predicate<T> begin;
-  private final Deque<Entry<T>> line = new ArrayDeque<>();
-  private boolean turnTaken;
+  private final Predicate<T> start;
+  private final Deque<Entry<T>> queue = new ArrayDeque<>();
+  private boolean startedInIteration;
 
   private record Entry<T>(T request, Instant since) {}
 
-  private TurnLine(InstantSource clock, Executor eventLoop, Predicate<T> begin) {
+  private TurnLine(InstantSource clock, Executor eventLoop, Predicate<T> start) {
     this.clock = clock;
     this.eventLoop = eventLoop;
-    this.begin = begin;
+    this.start = start;
   }
 
   /**
-   * Returns an empty line.
+   * Returns an empty queue.
    *
-   * @param eventLoop runs an action in a later turn of the event loop
-   * @param begin begins a request; returns whether it could still be served
+   * @param eventLoop runs an action in a later iteration of the event loop
+   * @param start starts a request; returns whether it could still be served
    */
   public static <T> TurnLine<T> create(
-      InstantSource clock, Executor eventLoop, Predicate<T> begin) {
-    return new TurnLine<>(clock, eventLoop, begin);
+      InstantSource clock, Executor eventLoop, Predicate<T> start) {
+    return new TurnLine<>(clock, eventLoop, start);
   }
 
-  /** Begins the request now, or as soon as its turn comes. */
+  /** Starts the request now or, if another started in this iteration, queues it. */
   public void enter(T request) {
-    line.addLast(new Entry<>(request, clock.instant()));
-    beginOne();
+    queue.addLast(new Entry<>(request, clock.instant()));
+    startNext();
   }
 
-  /** Returns how many requests wait. */
+  /** Returns the number of queued requests. */
   public int waiting() {
-    return line.size();
+    return queue.size();
   }
 
-  private void beginOne() {
-    if (turnTaken) {
+  private void startNext() {
+    if (startedInIteration) {
       return;
     }
-    while (!line.isEmpty()) {
-      // Taken before it begins, because what it does may enter another one.
-      turnTaken = true;
-      if (begin.test(next())) {
-        eventLoop.execute(this::turn);
+    while (!queue.isEmpty()) {
+      // Set before the request starts, because starting it may enqueue another one.
+      startedInIteration = true;
+      if (start.test(next())) {
+        eventLoop.execute(this::nextIteration);
         return;
       }
-      turnTaken = false;
+      startedInIteration = false;
     }
   }
 
-  private void turn() {
-    turnTaken = false;
-    beginOne();
+  private void nextIteration() {
+    startedInIteration = false;
+    startNext();
   }
 
   private T next() {
-    Duration oldest = Duration.between(line.peekFirst().since(), clock.instant());
-    boolean choked = oldest.compareTo(CHOKED_AFTER) > 0;
-    return choked ? line.removeLast().request() : line.removeFirst().request();
+    Duration oldest = Duration.between(queue.peekFirst().since(), clock.instant());
+    boolean overloaded = oldest.compareTo(OVERLOAD_WAIT) > 0;
+    return overloaded ? queue.removeLast().request() : queue.removeFirst().request();
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/limit/WaitingLine.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/WaitingLine.java
@@ -14,103 +14,103 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Requests that wait at this instance until an upstream has a place.
+ * Queues requests at this instance until an upstream has capacity.
  *
- * <p>A request waits here and not at an upstream, so that it takes the first place that becomes
- * free anywhere, and where it goes is decided anew then. Higher priority goes first, then earlier
- * arrival; a target without a place does not hold up the others. Invariant: a request whose
- * predicted wait exceeds its deadline is not let in, and one whose deadline passed is refused at
- * once. Owned by one event loop, not thread-safe.
+ * <p>A request queues here rather than at an upstream, so that it takes the first slot that becomes
+ * free on any upstream and is routed only then. Higher priority goes first, then earlier arrival; a
+ * target without capacity does not block the others. Invariant: a request whose predicted wait
+ * exceeds its deadline is not queued, and one whose deadline passed is refused at once. Owned by
+ * one event loop, not thread-safe.
  */
 public final class WaitingLine {
   private static final double SMOOTHING = 0.05;
-  private static final double SHARE_FOR_WAITING = 0.5;
+  private static final double QUEUE_TIME_SHARE = 0.5;
   private static final double NANOS_PER_SECOND = 1e9;
 
-  private final TreeSet<Waiter> waiters =
+  private final TreeSet<Entry> entries =
       new TreeSet<>(
-          Comparator.comparingInt((Waiter waiter) -> waiter.request().priority())
+          Comparator.comparingInt((Entry entry) -> entry.request().priority())
               .reversed()
-              .thenComparingLong(Waiter::number));
-  private double meanGapSeconds;
-  private Instant lastFreed = Instant.EPOCH;
-  private long entered;
+              .thenComparingLong(Entry::number));
+  private double meanIntervalSeconds;
+  private Instant lastFreedAt = Instant.EPOCH;
+  private long lastNumber;
 
   private WaitingLine() {}
 
-  /** Returns an empty line. */
+  /** Returns an empty queue. */
   public static WaitingLine create() {
     return new WaitingLine();
   }
 
   /**
-   * A request that may wait.
+   * A request that may be queued.
    *
-   * @param target what it asks for
-   * @param priority from 0 to 9
-   * @param deadline when waiting is of no use any more
-   * @param proceed tries to find a place, and returns whether the request needs to wait no more
+   * @param target the target that the request needs capacity of
+   * @param priority the priority from 0 to 9
+   * @param deadline the deadline of the request
+   * @param proceed tries to send the request; returns whether it leaves the queue
    * @param giveUp refuses the request
    */
   public record Waiting(
       String target, int priority, Instant deadline, BooleanSupplier proceed, Runnable giveUp) {}
 
-  private record Waiter(Waiting request, long number, Instant last) {}
+  private record Entry(Waiting request, long number, Instant latestStart) {}
 
-  /** Lets a request in and returns empty, or returns when it is worth to come back. */
+  /** Queues a request and returns empty, or returns the predicted wait if that is too long. */
   public Optional<Duration> enter(Waiting request, Instant now) {
     Duration wait = predictedWait(request);
-    long leftMillis = Duration.between(now, request.deadline()).toMillis();
-    Instant last = now.plusMillis((long) (leftMillis * SHARE_FOR_WAITING));
-    if (now.plus(wait).isAfter(last)) {
+    long remainingMillis = Duration.between(now, request.deadline()).toMillis();
+    Instant latestStart = now.plusMillis((long) (remainingMillis * QUEUE_TIME_SHARE));
+    if (now.plus(wait).isAfter(latestStart)) {
       return Optional.of(wait);
     }
-    waiters.add(new Waiter(request, ++entered, last));
+    entries.add(new Entry(request, ++lastNumber, latestStart));
     return Optional.empty();
   }
 
-  /** Counts that one of this instance's requests has left an upstream. */
+  /** Records that a request of this instance has left an upstream. */
   public void freed(Instant now) {
-    if (!lastFreed.equals(Instant.EPOCH)) {
-      double gap = Duration.between(lastFreed, now).toNanos() / NANOS_PER_SECOND;
-      meanGapSeconds += SMOOTHING * (gap - meanGapSeconds);
+    if (!lastFreedAt.equals(Instant.EPOCH)) {
+      double interval = Duration.between(lastFreedAt, now).toNanos() / NANOS_PER_SECOND;
+      meanIntervalSeconds += SMOOTHING * (interval - meanIntervalSeconds);
     }
-    lastFreed = now;
+    lastFreedAt = now;
   }
 
-  /** Refuses those whose deadline passed and lets the others try to find a place. */
+  /** Refuses requests whose deadline passed and tries to send the others. */
   public void serve(Instant now) {
-    Set<String> withoutPlace = new HashSet<>();
-    for (Waiter waiter : List.copyOf(waiters)) {
-      Waiting request = waiter.request();
-      if (!now.isBefore(waiter.last())) {
-        waiters.remove(waiter);
+    Set<String> fullTargets = new HashSet<>();
+    for (Entry entry : List.copyOf(entries)) {
+      Waiting request = entry.request();
+      if (!now.isBefore(entry.latestStart())) {
+        entries.remove(entry);
         request.giveUp().run();
-      } else if (!withoutPlace.contains(request.target())) {
-        tryOne(waiter, withoutPlace);
+      } else if (!fullTargets.contains(request.target())) {
+        tryToSend(entry, fullTargets);
       }
     }
   }
 
-  private void tryOne(Waiter waiter, Set<String> withoutPlace) {
-    if (waiter.request().proceed().getAsBoolean()) {
-      waiters.remove(waiter);
+  private void tryToSend(Entry entry, Set<String> fullTargets) {
+    if (entry.request().proceed().getAsBoolean()) {
+      entries.remove(entry);
     } else {
-      withoutPlace.add(waiter.request().target());
+      fullTargets.add(entry.request().target());
     }
   }
 
-  /** Returns the number of requests that wait. */
+  /** Returns the number of queued requests. */
   public int size() {
-    return waiters.size();
+    return entries.size();
   }
 
   private Duration predictedWait(Waiting request) {
     long ahead =
-        waiters.stream()
-            .filter(waiter -> waiter.request().target().equals(request.target()))
-            .filter(waiter -> waiter.request().priority() >= request.priority())
+        entries.stream()
+            .filter(entry -> entry.request().target().equals(request.target()))
+            .filter(entry -> entry.request().priority() >= request.priority())
             .count();
-    return Duration.ofNanos((long) ((ahead + 1) * meanGapSeconds * NANOS_PER_SECOND));
+    return Duration.ofNanos((long) ((ahead + 1) * meanIntervalSeconds * NANOS_PER_SECOND));
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/limit/WorkspaceLimits.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/WorkspaceLimits.java
@@ -12,13 +12,13 @@
 import org.oatlug.config.Workspace;
 
 /**
- * The rates of workspaces, split evenly over the live instances.
+ * Limits the request rates of workspaces, split evenly over the live instances.
  *
- * <p>The balancer spreads callers evenly, so an even split with a burst of a second fits; an
- * instance never gets less than a floor. Owned by one event loop, not thread-safe.
+ * <p>The load balancer spreads callers evenly, so an even split with a burst of one second is
+ * adequate; the share of an instance has a minimum. Owned by one event loop, not thread-safe.
  */
 public final class WorkspaceLimits {
-  private static final double FLOOR_PER_SECOND = 0.5;
+  private static final double MINIMUM_PER_SECOND = 0.5;
   private static final double HEADROOM = 1.2;
 
   private final Map<String, TokenBucket> buckets = new HashMap<>();
@@ -28,15 +28,15 @@
     this.instances = instances;
   }
 
-  /** Returns limits that are split over as many instances as the supplier says. */
+  /** Returns limits that are split over the supplied number of live instances. */
   public static WorkspaceLimits create(IntSupplier instances) {
     return new WorkspaceLimits(instances);
   }
 
-  /** Takes one request and returns empty, or returns when the next may come. */
+  /** Admits a request and returns empty, or returns the time until the next is admitted. */
   public Optional<Duration> take(String name, Workspace workspace, Instant now) {
     double share = workspace.requestsPerSecond() * HEADROOM / Math.max(1, instances.getAsInt());
-    double rate = Math.max(FLOOR_PER_SECOND, share);
+    double rate = Math.max(MINIMUM_PER_SECOND, share);
     TokenBucket bucket = buckets.computeIfAbsent(name, unused -> TokenBucket.full(rate, now));
     if (bucket.take(rate, now)) {
       return Optional.empty();
--- a/org.oatlug/src/org/oatlug/internal/limit/package-info.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/package-info.java
@@ -1,2 +1,2 @@
-/** Rate limits, admission and the retry budget. */
+/** Rate limits, admission, queues and the retry budget. */
 package org.oatlug.internal.limit;
