--- a/org.oatlug.test/tst/org/oatlug/internal/engine/EngineSpeedsTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/engine/EngineSpeedsTest.java
@@ -16,16 +16,16 @@
 import net.jqwik.api.constraints.DoubleRange;
 import org.oatlug.internal.util.BoundedMap;
 
-/** Shows that the speed of engines is found, followed and forgotten, within a bounded memory. */
+/** Tests that estimates of prefill times converge, adapt and decay within bounded memory. */
 class EngineSpeedsTest {
   private static final String SEED = "20261202";
   private static final String UPSTREAM = "i-1";
-  private static final int WILD_IN = 10;
+  private static final int OUTLIER_INTERVAL = 10;
   private static final int LARGEST_PROMPT = 20_000;
 
   private Instant now = Instant.parse("2026-12-02T12:00:00Z");
 
-  /** An engine whose answers come a tenth sooner or later than its line, one in ten far off. */
+  /** An engine whose responses deviate from its line by up to a tenth, with one outlier in ten. */
   private final class Engine {
     private final Random random;
     private double millisPerToken;
@@ -40,8 +40,8 @@
       answers++;
       int tokens = 500 + random.nextInt(LARGEST_PROMPT);
       double noise = 0.9 + 0.2 * random.nextDouble();
-      boolean wild = answers % WILD_IN == 0;
-      double millis = (30 + millisPerToken * tokens) * noise * (wild ? 8 : 1);
+      boolean outlier = answers % OUTLIER_INTERVAL == 0;
+      double millis = (30 + millisPerToken * tokens) * noise * (outlier ? 8 : 1);
       HeadForecast forecast =
           new HeadForecast(0, speeds.lineOf(model).millisFor(tokens), tokens, true);
       now = now.plusMillis(200);
@@ -49,24 +49,24 @@
     }
   }
 
-  private static void assertWithin(double found, double wanted, double share) {
-    assertTrue(Math.abs(found - wanted) <= share * wanted, found + " instead of " + wanted);
+  private static void assertWithin(double actual, double expected, double share) {
+    assertTrue(Math.abs(actual - expected) <= share * expected, actual + " instead of " + expected);
   }
 
   @Property(seed = SEED)
-  void testAnySpeedWithinTwoDecadesIsFoundInThirtyAnswers(
+  void testEstimateConvergesInThirtyResponses(
       @ForAll @DoubleRange(min = -2.3, max = -0.3) double exponent, @ForAll Random random) {
     EngineSpeeds speeds = EngineSpeeds.create();
-    double wanted = Math.pow(10, exponent);
-    Engine engine = new Engine(random, wanted);
+    double expected = Math.pow(10, exponent);
+    Engine engine = new Engine(random, expected);
     for (int answer = 0; answer < 30; answer++) {
       engine.answer(speeds, "m");
     }
-    assertWithin(speeds.lineOf("m").millisPerToken(), wanted, 0.2);
+    assertWithin(speeds.lineOf("m").millisPerToken(), expected, 0.2);
   }
 
   @Property(seed = SEED)
-  void testChangeOfSpeedIsFollowedWithinTenAnswers(@ForAll Random random) {
+  void testEstimateAdaptsInTenResponses(@ForAll Random random) {
     EngineSpeeds speeds = EngineSpeeds.create();
     Engine engine = new Engine(random, 0.02);
     for (int answer = 0; answer < 30; answer++) {
@@ -79,9 +79,9 @@
     assertTrue(speeds.lineOf("m").millisPerToken() > 0.05, "line " + speeds.lineOf("m"));
   }
 
-  /** A queue that is told too long must not make the engine seem infinitely quick. */
+  /** An overestimated queue must not make the engine appear infinitely fast. */
   @Example
-  void testAnswersSoonerThanTheWaitDoNotMakeReadingFree() {
+  void testResponsesFasterThanTheWaitDoNotMakePrefillFree() {
     EngineSpeeds speeds = EngineSpeeds.create();
     for (int answer = 0; answer < 40; answer++) {
       double own = speeds.lineOf("m").millisFor(1000 + answer * 100);
@@ -92,12 +92,12 @@
   }
 
   @Example
-  void testModelThatNobodyMeasuredCountsAsSlow() {
+  void testUnmeasuredModelCountsAsSlow() {
     EngineSpeeds speeds = EngineSpeeds.create();
     double unmeasured = speeds.lineOf("large").millisPerToken();
-    Engine quick = new Engine(new Random(1), 0.005);
+    Engine fast = new Engine(new Random(1), 0.005);
     for (int answer = 0; answer < 30; answer++) {
-      quick.answer(speeds, "small");
+      fast.answer(speeds, "small");
     }
     assertEquals(speeds.lineOf("large").millisPerToken(), unmeasured);
     Engine slow = new Engine(new Random(1), 0.4);
@@ -105,15 +105,15 @@
       slow.answer(speeds, "middle");
     }
     assertEquals(speeds.lineOf("large"), speeds.lineOf("middle"));
-    ReadingLine told = new ReadingLine(10, 0.1);
-    speeds.heard("large", told);
-    assertEquals(speeds.lineOf("large"), told);
-    speeds.heard("small", told);
+    ReadingLine reported = new ReadingLine(10, 0.1);
+    speeds.heard("large", reported);
+    assertEquals(speeds.lineOf("large"), reported);
+    speeds.heard("small", reported);
     assertWithin(speeds.lineOf("small").millisPerToken(), 0.005, 0.2);
   }
 
   @Example
-  void testSlowUpstreamIsSlowerThanItsModelUntilThatIsLongAgo() {
+  void testSlownessOfUpstreamDecays() {
     EngineSpeeds speeds = EngineSpeeds.create();
     HeadForecast forecast = new HeadForecast(0, 200, 4000, false);
     for (int answer = 0; answer < 5; answer++) {
@@ -134,7 +134,7 @@
     }
     assertEquals(map.keySet(), java.util.Set.of(0, 98, 99));
     EngineSpeeds speeds = EngineSpeeds.create();
-    for (int model = 0; model < 2 * EngineSpeeds.MOST_MODELS; model++) {
+    for (int model = 0; model < 2 * EngineSpeeds.MAXIMUM_MODELS; model++) {
       speeds.heard("m" + model, new ReadingLine(1, 1 + model));
     }
     assertEquals(speeds.lineOf("m1").millisPerToken(), speeds.lineOf("none").millisPerToken());
--- a/org.oatlug.test/tst/org/oatlug/internal/engine/OpenReadingTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/engine/OpenReadingTest.java
@@ -15,14 +15,14 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Shows that what waits at upstreams adds up over instances and is forgotten with them. */
+/** Tests that queued prefill times are added over instances and expire with their reports. */
 class OpenReadingTest {
   private static final String SEED = "20261202";
 
   private final Instant now = Instant.parse("2026-12-02T12:00:00Z");
 
   @Example
-  void testWhatOthersHaveOpenCountsUntilItIsReplacedOrOld() {
+  void testReportOfOthersCountsUntilReplacedOrExpired() {
     OpenReading reading = OpenReading.create();
     reading.begin("i-1", 100);
     reading.heard(Map.of("i-1", 55, "i-2", 70), now);
@@ -37,7 +37,7 @@
   }
 
   @Property(seed = SEED)
-  void testWhatBeganAndEndedLeavesNothing(@ForAll Random random) {
+  void testEndedPromptsLeaveNoPrefillTime(@ForAll Random random) {
     OpenReading reading = OpenReading.create();
     Deque<Double> open = new ArrayDeque<>();
     for (int step = 0; step < 200; step++) {
--- a/org.oatlug.test/tst/org/oatlug/internal/engine/UpstreamCallerTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/engine/UpstreamCallerTest.java
@@ -25,23 +25,23 @@
 import org.testng.annotations.Test;
 
 /**
- * A call whose route is no longer right once its connection is open.
+ * Tests calls whose route becomes invalid while they connect, and refusals.
  *
- * <p>Before, the last look was taken when the connection began to open, so a request could reach an
- * upstream that left, or a version that was withdrawn, in between.
+ * <p>Guards against a check of the route only before connecting: the request then reaches an
+ * upstream that began to leave, or a version that was withdrawn, in between.
  */
 public class UpstreamCallerTest {
 
   @Test
-  public void testCallIsNotSentOnceItsRouteIsNoLongerRight() throws IOException {
+  public void testCallIsNotSentAfterItsRouteBecameInvalid() throws IOException {
     Vertx vertx = Vertx.vertx();
-    AtomicInteger arrivals = new AtomicInteger();
+    AtomicInteger requests = new AtomicInteger();
     int port = Ports.free();
     vertx
         .createHttpServer()
         .requestHandler(
             request -> {
-              arrivals.incrementAndGet();
+              requests.incrementAndGet();
               request.response().end();
             })
         .listen(port, "127.0.0.1")
@@ -52,13 +52,13 @@
     assertTrue(failure instanceof UpstreamFailedException, String.valueOf(failure));
     assertEquals(
         ((UpstreamFailedException) failure).progress(), UpstreamFailedException.Progress.NOT_SENT);
-    assertEquals(arrivals.get(), 0);
+    assertEquals(requests.get(), 0);
     vertx.close().toCompletionStage().toCompletableFuture().join();
   }
 
-  /** The rest that an engine asks for when it refuses was read nowhere. */
+  /** The header {@code Retry-After} of a refusal must not be ignored. */
   @Test
-  public void testRefusalTellsForHowLongTheUpstreamWantsRest() throws IOException {
+  public void testRefusalCarriesRetryAfter() throws IOException {
     Vertx vertx = Vertx.vertx();
     int port = Ports.free();
     vertx
@@ -76,21 +76,21 @@
     vertx.close().toCompletionStage().toCompletableFuture().join();
   }
 
-  private static Future<HttpClientResponse> send(Vertx vertx, int port, BooleanSupplier right) {
+  private static Future<HttpClientResponse> send(Vertx vertx, int port, BooleanSupplier isValid) {
     Upstream upstream =
         new Upstream(
             Upstream.Kind.ENGINE, "127.0.0.1", port, "hall-a", List.of("v1"), 1, false, false);
     UpstreamCaller.Call call =
         new UpstreamCaller.Call(
             HttpMethod.POST, "/", Map.of(), Buffer.buffer("a"), true, Duration.ofSeconds(5));
-    UpstreamCaller.Attempt attempt = UpstreamCaller.Attempt.whileRight(right);
+    UpstreamCaller.Attempt attempt = UpstreamCaller.Attempt.whileRight(isValid);
     return UpstreamCaller.create(vertx).send("engine", upstream, call, attempt);
   }
 
   private static Throwable failureOf(Future<?> answer) {
     try {
       answer.toCompletionStage().toCompletableFuture().join();
-      throw new AssertionError("the call was answered");
+      throw new AssertionError("the call succeeded");
     } catch (CompletionException e) {
       return e.getCause();
     }
--- a/org.oatlug/src/org/oatlug/internal/engine/EngineSpeeds.java
+++ b/org.oatlug/src/org/oatlug/internal/engine/EngineSpeeds.java
@@ -13,138 +13,142 @@
 import org.oatlug.internal.util.BoundedMap;
 
 /**
- * How fast engines read, learned from their answers: a line for each model, and for each upstream
- * how much slower than the line it is.
+ * Estimates the prefill times of engines from their responses: a linear function for each model,
+ * and a factor for each upstream by which it is slower than its models.
  *
- * <p>Invariants: before anything was measured an engine counts as slow, so that prompts spread; a
- * model that neither this instance nor a peer measured counts as slow as the slowest that was; the
- * slowness of an upstream that is not asked fades, so that it is tried again. Memory is bounded by
- * {@link #MOST_MODELS} and {@link #MOST_UPSTREAMS}. Owned by one event loop, not thread-safe.
+ * <p>Invariants: an engine without measurements counts as slow, so that prompts are spread; a model
+ * that neither this instance nor a peer measured counts as slow as the slowest measured model; the
+ * factor of an upstream that receives no requests decays, so that it is tried again. Memory is
+ * bounded by {@link #MAXIMUM_MODELS} and {@link #MAXIMUM_UPSTREAMS}. Owned by one event loop, not
+ * thread-safe.
  */
 public final class EngineSpeeds {
-  /** Models that are remembered; several times those that are in use at the design size. */
-  static final int MOST_MODELS = 128;
+  /** The maximum models remembered: several times those in use at the design size. */
+  static final int MAXIMUM_MODELS = 128;
 
-  /** Upstreams that are remembered: all of the design size, with those that replace them. */
-  static final int MOST_UPSTREAMS = 8192;
+  /** The maximum upstreams remembered: all at the design size and their replacements. */
+  static final int MAXIMUM_UPSTREAMS = 8192;
 
   /**
-   * An engine of which nothing is known: 20 tokens in a millisecond, slower than engines that serve
-   * in batches usually are. A guess that is too slow spreads prompts, one that is too quick piles
-   * them up.
+   * The default without measurements, 20 tokens per millisecond: slower than engines with batching
+   * usually are, because too slow an estimate spreads prompts, while too fast an estimate
+   * concentrates them.
    */
   private static final ReadingLine UNMEASURED = new ReadingLine(50, 0.05);
 
   /**
-   * After this time without an answer the slowness of an upstream counts for about a third, in
-   * milliseconds: as long as its failures do, see the upstream's row.
+   * The time in milliseconds after which the slowness of an upstream decays to about a third, the
+   * same as for its failures in {@link org.oatlug.internal.table.UpstreamRow}.
    */
-  private static final double FADE_MILLIS = 3000;
+  private static final double DECAY_MILLIS = 3000;
 
-  /** The weight of one answer in the slowness of an upstream: the last five or so count. */
+  /** The weight of one response in the slowness of an upstream: about the last five count. */
   private static final double WEIGHT = 0.3;
 
-  /** The most that one answer says of an upstream, as a logarithm: eight times slower or faster. */
-  private static final double MOST_LOGARITHM = Math.log(8);
+  /** The bound of the logarithm of a slowness, of one response and in total: a factor of eight. */
+  private static final double MAXIMUM_LOGARITHM = Math.log(8);
 
-  /** Times below this differ by chance: what both sides of a ratio gain, in milliseconds. */
-  private static final double GRAIN_MILLIS = 50;
+  /** Added to both sides of a ratio, in milliseconds, because shorter times differ by chance. */
+  private static final double NOISE_MILLIS = 50;
 
-  private final Map<String, ReadingSamples> models = BoundedMap.ofMost(MOST_MODELS);
-  private final Map<String, ReadingLine> heard = BoundedMap.ofMost(MOST_MODELS);
-  private final Map<String, Slowness> upstreams = BoundedMap.ofMost(MOST_UPSTREAMS);
+  private final Map<String, PrefillSamples> samplesByModel = BoundedMap.ofMost(MAXIMUM_MODELS);
+  private final Map<String, ReadingLine> peerEstimates = BoundedMap.ofMost(MAXIMUM_MODELS);
+  private final Map<String, Slowness> upstreams = BoundedMap.ofMost(MAXIMUM_UPSTREAMS);
 
-  /** How much slower an upstream was than expected, as a logarithm, and when that was seen. */
+  /** The logarithm of the factor by which an upstream was slower than expected, and its time. */
   private record Slowness(double logarithm, Instant at) {
     double at(Instant now) {
       double age = Math.max(0, Duration.between(at, now).toMillis());
-      return logarithm * Math.exp(-age / FADE_MILLIS);
+      return logarithm * Math.exp(-age / DECAY_MILLIS);
     }
   }
 
   private EngineSpeeds() {}
 
-  /** Returns speeds of which nothing is known. */
+  /** Returns speeds without measurements. */
   public static EngineSpeeds create() {
     return new EngineSpeeds();
   }
 
-  /** Returns how fast engines read for the model, as far as that is known. */
+  /** Returns the estimated prefill time of the model. */
   public ReadingLine lineOf(String model) {
-    Optional<ReadingLine> own =
-        Optional.ofNullable(models.get(model)).flatMap(ReadingSamples::line);
-    return own.or(() -> Optional.ofNullable(heard.get(model))).or(this::slowest).orElse(UNMEASURED);
+    Optional<ReadingLine> measured =
+        Optional.ofNullable(samplesByModel.get(model)).flatMap(PrefillSamples::line);
+    return measured
+        .or(() -> Optional.ofNullable(peerEstimates.get(model)))
+        .or(this::slowest)
+        .orElse(UNMEASURED);
   }
 
-  /** Takes in what a peer measured; it counts while this instance has measured nothing itself. */
+  /** Records the estimate of a peer; used while this instance has none of its own. */
   public void heard(String model, ReadingLine line) {
-    heard.put(model, line);
+    peerEstimates.put(model, line);
   }
 
-  /** Returns the lines that this instance measured. */
+  /** Returns the estimates that this instance measured, by model. */
   public Map<String, ReadingLine> measured() {
     Map<String, ReadingLine> lines = new TreeMap<>();
-    models.forEach(
+    samplesByModel.forEach(
         (model, samples) -> samples.line().ifPresent(measured -> lines.put(model, measured)));
     return lines;
   }
 
   private Optional<ReadingLine> slowest() {
-    return models.values().stream()
+    return samplesByModel.values().stream()
         .flatMap(samples -> samples.line().stream())
         .filter(line -> line.millisPerToken() > UNMEASURED.millisPerToken())
         .max(Comparator.comparingDouble(ReadingLine::millisPerToken));
   }
 
-  /** Returns by which factor the upstream is slower than the lines of its models. */
+  /** Returns the factor by which the upstream is slower than the estimates of its models. */
   public double slownessOf(String upstream, Instant now) {
-    Slowness known = upstreams.get(upstream);
-    return known == null ? 1 : Math.exp(known.at(now));
+    Slowness slowness = upstreams.get(upstream);
+    return slowness == null ? 1 : Math.exp(slowness.at(now));
   }
 
   /**
-   * Takes in how long an engine took to begin its answer.
+   * Records the time to first token of a response.
    *
-   * @param upstream the upstream
-   * @param model the model that answered
-   * @param forecast what was expected when the request was sent
-   * @param took how long it took
+   * @param upstream the upstream that responded
+   * @param model the model that responded
+   * @param forecast the forecast at the time when the request was sent
+   * @param elapsed the time to first token
    */
   public void answered(
-      String upstream, String model, HeadForecast forecast, Duration took, Instant now) {
+      String upstream, String model, HeadForecast forecast, Duration elapsed, Instant now) {
     double expected = forecast.waitingMillis() + forecast.readingMillis();
-    double ratio = (took.toMillis() + GRAIN_MILLIS) / (expected + GRAIN_MILLIS);
-    noteSlowness(upstream, Math.log(ratio), now);
+    double ratio = (elapsed.toMillis() + NOISE_MILLIS) / (expected + NOISE_MILLIS);
+    updateSlowness(upstream, Math.log(ratio), now);
     if (forecast.certain() && expected > 0) {
-      ownReading(forecast, took.toMillis())
+      prefillOf(forecast, elapsed.toMillis())
           .ifPresent(millis -> samplesOf(model).add(forecast.unreadTokens(), millis));
     }
   }
 
   /**
-   * Returns how long the own prompt was read, empty if that cannot be told from a long wait. Never
-   * longer than the answer took and, where the wait was short, at least half as long: so no belief
-   * about what waits can make reading seem free.
+   * Returns the prefill time of the request itself in milliseconds, empty if it cannot be separated
+   * from a long wait. It never exceeds the elapsed time and is at least half of it if the expected
+   * wait was short, so that no estimate of the wait can make prefill appear free.
    */
-  private static OptionalDouble ownReading(HeadForecast forecast, double took) {
+  private static OptionalDouble prefillOf(HeadForecast forecast, double elapsed) {
     double reading = forecast.readingMillis();
     if (forecast.waitingMillis() <= reading) {
-      return OptionalDouble.of(took * reading / (forecast.waitingMillis() + reading));
+      return OptionalDouble.of(elapsed * reading / (forecast.waitingMillis() + reading));
     }
-    return reading > took ? OptionalDouble.of(took) : OptionalDouble.empty();
+    return reading > elapsed ? OptionalDouble.of(elapsed) : OptionalDouble.empty();
   }
 
-  private ReadingSamples samplesOf(String model) {
-    return models.computeIfAbsent(model, unused -> new ReadingSamples());
+  private PrefillSamples samplesOf(String model) {
+    return samplesByModel.computeIfAbsent(model, unused -> new PrefillSamples());
   }
 
-  private void noteSlowness(String upstream, double logarithm, Instant now) {
-    double bounded = Math.max(-MOST_LOGARITHM, Math.min(MOST_LOGARITHM, logarithm));
+  private void updateSlowness(String upstream, double logarithm, Instant now) {
+    double bounded = Math.max(-MAXIMUM_LOGARITHM, Math.min(MAXIMUM_LOGARITHM, logarithm));
     Slowness before = upstreams.get(upstream);
-    double known = before == null ? 0 : before.at(now);
-    // The forecast already held what was known, so what is seen comes on top of it.
-    double sum = known + WEIGHT * bounded;
-    double kept = Math.max(-MOST_LOGARITHM, Math.min(MOST_LOGARITHM, sum));
-    upstreams.put(upstream, new Slowness(kept, now));
+    double logarithmBefore = before == null ? 0 : before.at(now);
+    // The forecast already includes the known slowness, so the observed ratio is added to it.
+    double sum = logarithmBefore + WEIGHT * bounded;
+    double updated = Math.max(-MAXIMUM_LOGARITHM, Math.min(MAXIMUM_LOGARITHM, sum));
+    upstreams.put(upstream, new Slowness(updated, now));
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/engine/HeadForecast.java
+++ b/org.oatlug/src/org/oatlug/internal/engine/HeadForecast.java
@@ -6,23 +6,23 @@
 import java.time.Duration;
 
 /**
- * What is expected of a request at one engine until its answer begins. Immutable, thread-safe.
+ * A forecast of the time to first token of a request at one engine. Immutable, thread-safe.
  *
- * @param waitingMillis how long other prompts are read there first, in milliseconds
- * @param readingMillis how long its own prompt takes, in milliseconds
- * @param unreadTokens the tokens of its prompt that the engine has to read
- * @param certain whether it is known, and not only hoped, which parts the engine keeps
+ * @param waitingMillis the prefill time of the prompts queued ahead of it, in milliseconds
+ * @param readingMillis the prefill time of its own prompt, in milliseconds
+ * @param unreadTokens the tokens of its prompt that are not in the prefix cache of the engine
+ * @param certain whether the cached part of the prompt is known rather than assumed
  */
 public record HeadForecast(
     double waitingMillis, double readingMillis, double unreadTokens, boolean certain) {
-  /** Stands for a request that no engine answers, of which nothing is expected. */
+  /** The forecast for a request that is not sent to an engine. */
   public static final HeadForecast NONE = new HeadForecast(0, 0, 0, false);
 
-  /** Stands for an answer that no upstream will give: longer than any caller waits. */
+  /** The forecast if no upstream will respond: longer than any caller waits. */
   public static final HeadForecast NEVER =
       new HeadForecast(Duration.ofDays(1).toMillis(), 0, 0, false);
 
-  /** Returns the expected time to the head of the answer. */
+  /** Returns the expected time to first token. */
   public Duration timeToHead() {
     return Duration.ofMillis(Math.round(waitingMillis + readingMillis));
   }
--- a/org.oatlug/src/org/oatlug/internal/engine/LoadSystem.java
+++ b/org.oatlug/src/org/oatlug/internal/engine/LoadSystem.java
@@ -23,16 +23,16 @@
 import org.oatlug.internal.util.TickSystem;
 
 /**
- * Reads the load reports of upstreams.
+ * Polls the load reports of upstreams.
  *
- * <p>Each instance reads at most a fixed number of upstreams, chosen by rendezvous rank, so that
- * its cost does not grow with the pool. An upstream that reports that it is leaving is out at once.
- * Owned by one event loop, not thread-safe.
+ * <p>Each instance polls at most a fixed number of upstreams, selected by rendezvous rank, so that
+ * the cost does not grow with the pool. An upstream that reports that it is leaving is excluded at
+ * once. Owned by one event loop, not thread-safe.
  */
 public final class LoadSystem implements TickSystem {
   private static final Duration INTERVAL = Duration.ofMillis(1000);
-  private static final long PATIENCE_MILLIS = 800;
-  private static final int MAXIMUM_READ = 24;
+  private static final long TIMEOUT_MILLIS = 800;
+  private static final int MAXIMUM_POLLED = 24;
   private static final String PATH = "/load";
 
   private final String instance;
@@ -41,8 +41,8 @@
   private final InstantSource clock;
   private final Meters meters;
   private final Consumer<String> onLeaving;
-  private final Set<String> reading = new HashSet<>();
-  private Instant next = Instant.EPOCH;
+  private final Set<String> pending = new HashSet<>();
+  private Instant nextPoll = Instant.EPOCH;
 
   private LoadSystem(
       String instance,
@@ -60,9 +60,9 @@
   }
 
   /**
-   * Returns a system that reads the upstreams of the tables.
+   * Returns a system that polls the upstreams of the tables.
    *
-   * @param onLeaving is told the name of an upstream that newly says it is leaving
+   * @param onLeaving receives the name of an upstream when it first reports that it is leaving
    */
   public static LoadSystem create(
       String instance,
@@ -75,58 +75,58 @@
   }
 
   /**
-   * A load report.
+   * A load report of an upstream.
    *
-   * @param running requests that run
-   * @param waiting requests that wait
-   * @param leaving whether the upstream is about to go
+   * @param running the number of running requests
+   * @param waiting the number of queued requests
+   * @param leaving whether the upstream is about to stop
    */
   public record LoadReport(int running, int waiting, boolean leaving) {}
 
   @Override
   public void tick() {
     Instant now = clock.instant();
-    if (now.isBefore(next)) {
+    if (now.isBefore(nextPoll)) {
       return;
     }
-    next = now.plus(INTERVAL);
-    for (String name : chosen()) {
-      tables.catalogue().upstream(name).ifPresent(upstream -> read(name, upstream));
+    nextPoll = now.plus(INTERVAL);
+    for (String name : polledUpstreams()) {
+      tables.catalogue().upstream(name).ifPresent(upstream -> poll(name, upstream));
     }
   }
 
-  private List<String> chosen() {
+  private List<String> polledUpstreams() {
     List<String> names = new ArrayList<>(tables.catalogue().names(Kinds.UPSTREAM));
-    if (names.size() <= MAXIMUM_READ) {
+    if (names.size() <= MAXIMUM_POLLED) {
       return names;
     }
-    return Hashes.rendezvous(instance, names).subList(0, MAXIMUM_READ);
+    return Hashes.rendezvous(instance, names).subList(0, MAXIMUM_POLLED);
   }
 
-  private void read(String name, Upstream upstream) {
-    if (!reading.add(name)) {
+  private void poll(String name, Upstream upstream) {
+    if (!pending.add(name)) {
       return;
     }
     client
         .get(upstream.port(), upstream.host(), PATH)
-        .timeout(PATIENCE_MILLIS)
+        .timeout(TIMEOUT_MILLIS)
         .send()
         .onComplete(
             response -> received(name, response),
             failure -> {
-              reading.remove(name);
+              pending.remove(name);
               meters.count("upstream.load-report-missing");
             });
   }
 
   private void received(String name, HttpResponse<Buffer> response) {
-    reading.remove(name);
+    pending.remove(name);
     try {
       LoadReport report = response.bodyAsJson(LoadReport.class);
       UpstreamRow row = tables.upstreams().row(name);
-      boolean news = report.leaving() && !row.leaving();
+      boolean startsLeaving = report.leaving() && !row.leaving();
       tables.upstreams().report(name, report.running(), report.waiting(), report.leaving());
-      if (news) {
+      if (startsLeaving) {
         onLeaving.accept(name);
       }
     } catch (RuntimeException e) {
--- a/org.oatlug/src/org/oatlug/internal/engine/OpenReading.java
+++ b/org.oatlug/src/org/oatlug/internal/engine/OpenReading.java
@@ -9,20 +9,20 @@
 import java.util.TreeMap;
 
 /**
- * How long the prompts take that wait to be read at each upstream: those of this instance, and
- * those of all others.
+ * Accounts for the expected prefill time of the prompts that are queued at each upstream, sent by
+ * this instance and by all others.
  *
- * <p>Invariants: what {@link #begin} adds, {@link #end} takes away; what was told of the others
- * replaces what was told before, and counts for {@link #VALID} at most, so that instances that were
- * lost or cut off do not block upstreams. Owned by one event loop, not thread-safe.
+ * <p>Invariants: {@link #end} subtracts what {@link #begin} added; a report about other instances
+ * replaces the previous one and is valid for {@link #VALID}, so that lost or partitioned instances
+ * do not block upstreams. Owned by one event loop, not thread-safe.
  */
 public final class OpenReading {
-  /** How long what was told of others counts: a few of the pauses between messages. */
+  /** How long a report about other instances is valid: a few message intervals. */
   public static final Duration VALID = Duration.ofSeconds(2);
 
   private final Map<String, Double> own = new TreeMap<>();
   private Map<String, Integer> others = Map.of();
-  private Instant othersUntil = Instant.EPOCH;
+  private Instant othersValidUntil = Instant.EPOCH;
 
   private OpenReading() {}
 
@@ -31,40 +31,40 @@
     return new OpenReading();
   }
 
-  /** Counts a prompt that goes to the upstream. */
+  /** Adds the prefill time of a prompt that is sent to the upstream. */
   public void begin(String upstream, double millis) {
     own.merge(upstream, millis, Double::sum);
   }
 
-  /** Ends a prompt that began with the same values: it was read, or its request ended. */
+  /** Subtracts a prompt added with the same values: its prefill or its request has ended. */
   public void end(String upstream, double millis) {
-    double left = own.getOrDefault(upstream, 0.0) - millis;
-    if (left < 1) {
+    double remaining = own.getOrDefault(upstream, 0.0) - millis;
+    if (remaining < 1) {
       own.remove(upstream);
     } else {
-      own.put(upstream, left);
+      own.put(upstream, remaining);
     }
   }
 
-  /** Takes in what all others have open, in milliseconds by upstream. */
+  /** Replaces the prefill time queued by all other instances, in milliseconds by upstream. */
   public void heard(Map<String, Integer> millis, Instant now) {
     others = millis;
-    othersUntil = now.plus(VALID);
+    othersValidUntil = now.plus(VALID);
   }
 
-  /** Returns how long the prompts take that wait at the upstream, in milliseconds. */
+  /** Returns the prefill time of the prompts queued at the upstream, in milliseconds. */
   public double waitingMillis(String upstream, Instant now) {
     double sum = own.getOrDefault(upstream, 0.0);
-    if (!now.isAfter(othersUntil)) {
+    if (!now.isAfter(othersValidUntil)) {
       sum += others.getOrDefault(upstream, 0);
     }
     return sum;
   }
 
-  /** Returns what this instance has open, in whole milliseconds by upstream. */
+  /** Returns the prefill time queued by this instance, in whole milliseconds by upstream. */
   public Map<String, Integer> own() {
-    Map<String, Integer> whole = new TreeMap<>();
-    own.forEach((upstream, millis) -> whole.put(upstream, (int) Math.round(millis)));
-    return whole;
+    Map<String, Integer> rounded = new TreeMap<>();
+    own.forEach((upstream, millis) -> rounded.put(upstream, (int) Math.round(millis)));
+    return rounded;
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/engine/RatingClient.java
+++ b/org.oatlug/src/org/oatlug/internal/engine/RatingClient.java
@@ -17,10 +17,10 @@
 /**
  * Asks the rating service whether an answer meets its quality target.
  *
- * <p>The service being away is an ordinary result, an empty one. Used from one event loop.
+ * <p>An unavailable service yields an empty result rather than a failure. Used from one event loop.
  */
 public final class RatingClient {
-  private static final long PATIENCE_MILLIS = 500;
+  private static final long TIMEOUT_MILLIS = 500;
   private static final int OK = 200;
 
   private final Optional<Settings.Address> address;
@@ -33,7 +33,7 @@
     this.meters = meters;
   }
 
-  /** Returns a client of the service at {@code address}, or of none. */
+  /** Returns a client of the service at {@code address}; without one all results are empty. */
   public static RatingClient create(
       Vertx vertx, Optional<Settings.Address> address, Meters meters) {
     return new RatingClient(address, WebClient.create(vertx), meters);
@@ -42,16 +42,16 @@
   /**
    * An answer to be rated.
    *
-   * @param requestId the request
-   * @param workspace the workspace
-   * @param task the caller's task name
-   * @param version the version that answered
-   * @param text the answer
+   * @param requestId the id of the request
+   * @param workspace the workspace of the caller
+   * @param task the task name that the caller gave
+   * @param version the version that produced the answer
+   * @param text the text of the answer
    */
   public record Answer(
       String requestId, String workspace, String task, String version, String text) {}
 
-  /** Returns whether the answer meets the target, empty if the service does not say. */
+  /** Returns whether the answer meets the target, empty if the service does not report it. */
   public Uni<Optional<Boolean>> rate(Answer answer) {
     if (address.isEmpty()) {
       return Uni.createFrom().item(Optional.empty());
@@ -67,20 +67,20 @@
             () ->
                 client
                     .post(address.get().port(), address.get().host(), "/rate")
-                    .timeout(PATIENCE_MILLIS)
+                    .timeout(TIMEOUT_MILLIS)
                     .sendJsonObject(body))
-        .map(RatingClient::read)
+        .map(RatingClient::parse)
         .onFailure()
         .recoverWithItem(Optional.empty())
         .invoke(
-            met -> {
-              if (met.isEmpty()) {
+            result -> {
+              if (result.isEmpty()) {
                 meters.count("rating.missing");
               }
             });
   }
 
-  private static Optional<Boolean> read(HttpResponse<Buffer> response) {
+  private static Optional<Boolean> parse(HttpResponse<Buffer> response) {
     if (response.statusCode() != OK) {
       return Optional.empty();
     }
--- a/org.oatlug/src/org/oatlug/internal/engine/ReadingLine.java
+++ b/org.oatlug/src/org/oatlug/internal/engine/ReadingLine.java
@@ -4,16 +4,15 @@
 package org.oatlug.internal.engine;
 
 /**
- * How long an engine takes to read a prompt: a fixed time and a time for each token. Immutable,
- * thread-safe.
+ * The prefill time of a prompt as a linear function of its uncached tokens. Immutable, thread-safe.
  *
- * @param fixedMillis the time to the first token of a prompt that is kept whole, in milliseconds
- * @param millisPerToken the time that each token takes that has to be read, in milliseconds
+ * @param fixedMillis the time to first token of a fully cached prompt, in milliseconds
+ * @param millisPerToken the additional time for each uncached token, in milliseconds
  */
 public record ReadingLine(double fixedMillis, double millisPerToken) {
 
-  /** Returns how long a prompt takes of which so many tokens have to be read, in milliseconds. */
-  public double millisFor(double unreadTokens) {
-    return fixedMillis + millisPerToken * unreadTokens;
+  /** Returns the prefill time of a prompt with a number of uncached tokens, in milliseconds. */
+  public double millisFor(double uncachedTokens) {
+    return fixedMillis + millisPerToken * uncachedTokens;
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/engine/UpstreamCaller.java
+++ b/org.oatlug/src/org/oatlug/internal/engine/UpstreamCaller.java
@@ -26,9 +26,9 @@
 /**
  * Sends one attempt to one upstream over HTTP.
  *
- * <p>Invariant: a failure says how far the attempt came. A request that may not be repeated goes
- * over a connection of its own, because one taken from a pool may have been closed by the other
- * side, which cannot be told from a request that ran. Used from one event loop.
+ * <p>Invariant: a failure carries the progress of the attempt. A request that must not be repeated
+ * uses a connection of its own, because the upstream may have closed a pooled connection, which
+ * cannot be distinguished from a failure after the request ran. Used from one event loop.
  */
 public final class UpstreamCaller {
   private static final int CONNECT_MILLIS = 1000;
@@ -41,33 +41,35 @@
 
   private final Vertx vertx;
   private final HttpClient pooled;
-  private final HttpClient single;
+  private final HttpClient unpooled;
 
-  private UpstreamCaller(Vertx vertx, HttpClient pooled, HttpClient single) {
+  private UpstreamCaller(Vertx vertx, HttpClient pooled, HttpClient unpooled) {
     this.vertx = vertx;
     this.pooled = pooled;
-    this.single = single;
+    this.unpooled = unpooled;
   }
 
-  /** Returns a caller with its own pool of connections. */
+  /** Returns a caller with its own connection pool. */
   public static UpstreamCaller create(Vertx vertx) {
-    HttpClientOptions keep = new HttpClientOptions().setConnectTimeout(CONNECT_MILLIS);
-    HttpClientOptions once =
+    HttpClientOptions pooledOptions = new HttpClientOptions().setConnectTimeout(CONNECT_MILLIS);
+    HttpClientOptions unpooledOptions =
         new HttpClientOptions().setConnectTimeout(CONNECT_MILLIS).setKeepAlive(false);
     PoolOptions pool = new PoolOptions().setHttp1MaxSize(POOL_SIZE);
     return new UpstreamCaller(
-        vertx, vertx.createHttpClient(keep, pool), vertx.createHttpClient(once, pool));
+        vertx,
+        vertx.createHttpClient(pooledOptions, pool),
+        vertx.createHttpClient(unpooledOptions, pool));
   }
 
   /**
-   * What is sent.
+   * A request to an upstream.
    *
    * @param method the HTTP method
    * @param path the path with its query
-   * @param headers the headers
-   * @param body the body
+   * @param headers the request headers
+   * @param body the request body
    * @param repeatable whether the request may run more than once
-   * @param firstByte how long the answer may take to begin
+   * @param firstByte the maximum time until the response begins
    */
   public record Call(
       HttpMethod method,
@@ -79,27 +81,27 @@
 
   /** One attempt that can be cancelled. Used from one event loop. */
   public static final class Attempt {
-    private final BooleanSupplier stillRight;
+    private final BooleanSupplier isValid;
     private HttpClientRequest request;
     private boolean cancelled;
 
-    private Attempt(BooleanSupplier stillRight) {
-      this.stillRight = stillRight;
+    private Attempt(BooleanSupplier isValid) {
+      this.isValid = isValid;
     }
 
     /**
-     * Returns an attempt that is not sent unless it is still right when its connection is open: an
-     * upstream may begin to leave, and a version may be withdrawn, while that takes its time.
+     * Returns an attempt that is sent only if it is still valid once its connection is open,
+     * because the upstream may begin to leave, or the version may be withdrawn, while it connects.
      */
-    public static Attempt whileRight(BooleanSupplier stillRight) {
-      return new Attempt(stillRight);
+    public static Attempt whileRight(BooleanSupplier isValid) {
+      return new Attempt(isValid);
     }
 
     private boolean maySend() {
-      return !cancelled && stillRight.getAsBoolean();
+      return !cancelled && isValid.getAsBoolean();
     }
 
-    /** Cancels the attempt at the upstream, if it was sent. */
+    /** Cancels the attempt and, if it was sent, resets the request at the upstream. */
     public void cancel() {
       cancelled = true;
       if (request != null) {
@@ -111,7 +113,7 @@
   /**
    * Sends the call.
    *
-   * @return the answer, paused; or a failure with {@link UpstreamFailedException}
+   * @return the response, paused, or a failure with {@link UpstreamFailedException}
    */
   public Future<HttpClientResponse> send(
       String name, Upstream upstream, Call call, Attempt attempt) {
@@ -121,15 +123,15 @@
             .setPort(upstream.port())
             .setMethod(call.method())
             .setURI(call.path());
-    HttpClient client = call.repeatable() ? pooled : single;
+    HttpClient client = call.repeatable() ? pooled : unpooled;
     return client
         .request(options)
         .recover(failure -> failed(name, Progress.NOT_SENT, failure.getMessage()))
-        .compose(request -> sendOn(name, request, call, attempt))
-        .compose(response -> judge(name, call, response));
+        .compose(request -> sendRequest(name, request, call, attempt))
+        .compose(response -> checkStatus(name, call, response));
   }
 
-  private Future<HttpClientResponse> sendOn(
+  private Future<HttpClientResponse> sendRequest(
       String name, HttpClientRequest request, Call call, Attempt attempt) {
     if (!attempt.maySend()) {
       request.reset();
@@ -160,14 +162,15 @@
         .recover(failure -> failed(name, Progress.SENT, failure.getMessage()));
   }
 
-  private static Future<HttpClientResponse> judge(
+  private static Future<HttpClientResponse> checkStatus(
       String name, Call call, HttpClientResponse response) {
     int status = response.statusCode();
     if (status == UNAVAILABLE || status == TOO_MANY_REQUESTS) {
       response.resume();
-      Optional<Duration> rest =
+      Optional<Duration> retryAfter =
           Optional.ofNullable(response.getHeader(RETRY_AFTER)).map(AskedRest::of);
-      return Future.failedFuture(UpstreamFailedException.refused(name, "status " + status, rest));
+      return Future.failedFuture(
+          UpstreamFailedException.refused(name, "status " + status, retryAfter));
     }
     if (status >= FIRST_SERVER_ERROR && call.repeatable()) {
       response.resume();
@@ -176,7 +179,7 @@
     return Future.succeededFuture(response);
   }
 
-  /** Returns whether the answer carries what was asked for. */
+  /** Returns whether the response is successful. */
   public static boolean isGood(HttpClientResponse response) {
     return response.statusCode() == OK;
   }
--- a/org.oatlug/src/org/oatlug/internal/engine/package-info.java
+++ b/org.oatlug/src/org/oatlug/internal/engine/package-info.java
@@ -1,2 +1,2 @@
-/** The client side of upstreams. */
+/** Clients of upstreams and estimates of their prefill times. */
 package org.oatlug.internal.engine;
