--- a/org.oatlug/src/org/oatlug/internal/crash/CrashLedger.java
+++ b/org.oatlug/src/org/oatlug/internal/crash/CrashLedger.java
@@ -30,7 +30,7 @@
 public final class CrashLedger {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** How long a crash counts against a request: longer than callers take to retry. */
+  /** The time for which a crash counts against a request: longer than callers take to retry. */
   static final Duration VALIDITY = Duration.ofMinutes(10);
 
   /** The maximum crashes kept for a request: more than any verdict needs. */
--- a/org.oatlug/src/org/oatlug/internal/crash/CrashRecord.java
+++ b/org.oatlug/src/org/oatlug/internal/crash/CrashRecord.java
@@ -24,7 +24,7 @@
   private static final int MAXIMUM_NAME_LENGTH = 512;
 
   /** The maximum length of a subject, in characters. */
-  static final int MOST_SUBJECT_LENGTH = 160;
+  static final int MAXIMUM_SUBJECT_LENGTH = 160;
 
   /**
    * A run during which its upstream crashed.
@@ -48,7 +48,7 @@
     return fingerprint != null
         && fingerprint.length() == RequestFingerprint.LENGTH
         && subject != null
-        && subject.length() <= MOST_SUBJECT_LENGTH
+        && subject.length() <= MAXIMUM_SUBJECT_LENGTH
         && runs != null
         && runs.size() <= CrashLedger.MAXIMUM_RUNS
         && runs.stream().allMatch(run -> run != null && run.isSound())
--- a/org.oatlug/src/org/oatlug/internal/engine/OpenReading.java
+++ b/org.oatlug/src/org/oatlug/internal/engine/OpenReading.java
@@ -17,7 +17,7 @@
  * do not block upstreams. Owned by one event loop, not thread-safe.
  */
 public final class OpenReading {
-  /** How long a report about other instances is valid: a few message intervals. */
+  /** The time for which a report about other instances is valid: a few message intervals. */
   public static final Duration VALID = Duration.ofSeconds(2);
 
   private final Map<String, Double> own = new TreeMap<>();
--- a/org.oatlug/src/org/oatlug/internal/limit/AdvertisedLimits.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/AdvertisedLimits.java
@@ -30,7 +30,9 @@
 public final class AdvertisedLimits {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** How long an observation of this instance is reported and an ended limit is confirmed. */
+  /**
+   * The time for which an observation of this instance is reported and an ended limit is confirmed.
+   */
   static final Duration REPORTED_FOR = Duration.ofSeconds(30);
 
   /** The maximum upstreams that advertise limits at the same time at the design size. */
--- a/org.oatlug/src/org/oatlug/internal/limit/RankedSenders.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/RankedSenders.java
@@ -42,18 +42,21 @@
   private static final Duration UPDATE_INTERVAL = Duration.ofSeconds(1);
 
   /**
-   * How long an instance sends nothing after its start: several times the second that discovery in
-   * both directions takes, to allow for lost messages.
+   * The time for which an instance sends nothing after its start: several times the second that
+   * discovery in both directions takes, to allow for lost messages.
    */
   static final Duration SETTLING_TIME = Duration.ofSeconds(5);
 
-  /** How long an instance is remembered after it was live: longer than partitions of a zone. */
+  /**
+   * The time for which an instance is remembered after it was live: longer than partitions of a
+   * zone.
+   */
   static final Duration REMEMBERED = Duration.ofMinutes(10);
 
   /**
-   * How long an instance that is not live counts towards the majority that is required to send to
-   * an upstream with an advertised limit: longer than a restart, yet short enough that replaced
-   * instances do not block their successors.
+   * The time for which an instance that is not live counts towards the majority that is required to
+   * send to an upstream with an advertised limit: longer than a restart, yet short enough that
+   * replaced instances do not block their successors.
    */
   private static final Duration COUNTED = Duration.ofMinutes(1);
 
--- a/org.oatlug/src/org/oatlug/internal/limit/SharedRateLimit.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/SharedRateLimit.java
@@ -39,7 +39,10 @@
    */
   public static final double PROBES_PER_SECOND = 0.5;
 
-  /** How long senders may be idle before others take over: several times the probe interval. */
+  /**
+   * The time for which senders may be idle before others take over: several times the probe
+   * interval.
+   */
   public static final Duration TURN = Duration.ofSeconds(10);
 
   /** The number of sets of senders that may be active at the same time. */
