--- a/org.oatlug/src/org/oatlug/internal/rollout/CandidateEvidence.java
+++ b/org.oatlug/src/org/oatlug/internal/rollout/CandidateEvidence.java
@@ -4,10 +4,10 @@
 package org.oatlug.internal.rollout;
 
 /**
- * What one instance has seen against a candidate, by errors and by ratings.
+ * Evidence of one instance against a candidate version, from errors and from ratings.
  *
- * <p>Invariant: the evidence is the mean of the two tests' wealth, so it is itself a bet with the
- * same guarantee. Not thread-safe.
+ * <p>Invariant: the evidence is the mean of the wealth of the two tests, so it has the same bound
+ * on the probability of a false alarm as each of them. Not thread-safe.
  */
 public final class CandidateEvidence {
   private final SequentialTest errors = SequentialTest.create();
@@ -15,31 +15,31 @@
 
   private CandidateEvidence() {}
 
-  /** Returns evidence of nothing. */
+  /** Returns evidence without any outcomes. */
   public static CandidateEvidence create() {
     return new CandidateEvidence();
   }
 
   /**
-   * Takes in an outcome.
+   * Records an outcome.
    *
-   * @param ofCandidate whether it is the candidate's, not the current version's
+   * @param isCandidate whether the candidate produced it rather than the current version
    */
-  public void add(RolloutGuard.Measure measure, boolean ofCandidate, boolean failed) {
+  public void add(RolloutGuard.Measure measure, boolean isCandidate, boolean failed) {
     SequentialTest test = measure == RolloutGuard.Measure.ERRORS ? errors : ratings;
-    if (ofCandidate) {
+    if (isCandidate) {
       test.candidate(failed);
     } else {
       test.current(failed);
     }
   }
 
-  /** Returns the logarithm of the evidence; 0 is none. */
+  /** Returns the natural logarithm of the evidence; 0 means no evidence. */
   public double logEvidence() {
     return Math.log((Math.exp(errors.logEvidence()) + Math.exp(ratings.logEvidence())) / 2);
   }
 
-  /** Returns whether this instance may halt its own share. */
+  /** Returns whether the evidence suffices for this instance to halt its share of the roll-out. */
   public boolean refutesAlone() {
     return RolloutGuard.refutesAlone(logEvidence());
   }
--- a/org.oatlug/src/org/oatlug/internal/rollout/ComparedPairs.java
+++ b/org.oatlug/src/org/oatlug/internal/rollout/ComparedPairs.java
@@ -6,21 +6,22 @@
 import java.util.List;
 
 /**
- * The pairs of answers in which just one version failed, was late to begin, or was slow. Immutable,
- * thread-safe.
+ * Counts of the response pairs in which exactly one version failed, started late or streamed
+ * slowly. Immutable, thread-safe.
  *
- * <p>Kept apart, because an answer in time is no counterpart to a slow stream.
+ * <p>The three measures are counted separately, because a response that starts in time is not
+ * comparable to a slow stream.
  *
- * @param failures the pairs in which one failed
- * @param lateness the pairs in which one was late to begin
- * @param slowness the pairs in which one was slow
+ * @param failures the pairs in which one response failed
+ * @param lateness the pairs in which one response started late
+ * @param slowness the pairs in which one response streamed slowly
  */
 public record ComparedPairs(PairCounts failures, PairCounts lateness, PairCounts slowness) {
-  /** No pair at all. */
+  /** Counts of zero. */
   public static final ComparedPairs NONE =
       new ComparedPairs(PairCounts.NONE, PairCounts.NONE, PairCounts.NONE);
 
-  /** Returns the pairs of both, which others saw each. */
+  /** Returns the sum of two disjoint sets of pairs. */
   public ComparedPairs plus(ComparedPairs other) {
     return new ComparedPairs(
         failures.plus(other.failures),
@@ -28,7 +29,7 @@
         slowness.plus(other.slowness));
   }
 
-  /** Returns the later of two states of the same pairs, whichever came first. */
+  /** Returns the later of two states of the same counts, in whichever order they arrive. */
   public ComparedPairs join(ComparedPairs other) {
     return new ComparedPairs(
         failures.join(other.failures),
@@ -36,17 +37,20 @@
         slowness.join(other.slowness));
   }
 
-  /** Returns the number of pairs that speak against the candidate. */
+  /** Returns the number of pairs in which the candidate was worse. */
   public long worse() {
     return failures.worse() + lateness.worse() + slowness.worse();
   }
 
-  /** Returns whether the numbers are such as pairs can have. */
+  /** Returns whether all counts are in their valid range. */
   public boolean isSound() {
     return failures.isSound() && lateness.isSound() && slowness.isSound();
   }
 
-  /** Returns the logarithm of the mean evidence, so that three looks alarm no more than one. */
+  /**
+   * Returns the natural logarithm of the mean evidence of the measures. The mean keeps the
+   * probability of a false alarm at that of a single test.
+   */
   public double logEvidence() {
     List<PairCounts> measures = List.of(failures, lateness, slowness);
     double sum = 0;
--- a/org.oatlug/src/org/oatlug/internal/rollout/OrderAge.java
+++ b/org.oatlug/src/org/oatlug/internal/rollout/OrderAge.java
@@ -8,77 +8,79 @@
 import java.util.OptionalLong;
 
 /**
- * How long ago a version was ordered, as all instances count it.
+ * Age of a roll-out order, on which all instances agree.
  *
- * <p>An instance that sees an order appear counts from then on, and tells the others how long that
- * is ago; each takes the longest that it knows or hears of. Instances so agree but for the way of a
- * message, whenever each of them learned of the order, and no time of day is compared: with clocks
- * that were 4 s off, instances that counted from a written time of day sent 297 to 362 of 1,000
- * sessions to another version than the one before. Only who has neither seen the order appear nor
- * heard of its age goes by the time of day at which its roll-out began.
+ * <p>An instance that observes the creation of an order measures the time since then and reports it
+ * to its peers; each instance uses the largest age that it measured or received. Instances thus
+ * agree within the delay of a message, whenever each of them read the order, and no wall clocks are
+ * compared: with clocks 4 s apart, instances that used a stored wall-clock time moved 297 to 362 of
+ * 1,000 sessions to a different version. The wall-clock time at which the roll-out started is used
+ * only if the age is neither measured nor received.
  *
- * <p>Invariant: what is told is never more than the true age. Owned by one event loop, not
+ * <p>Invariant: a reported age is never more than the true age. Owned by one event loop, not
  * thread-safe.
  */
 public final class OrderAge {
-  private final Instant learnedAt;
+  private final Instant firstReadAt;
   private Instant orderedAt;
   private boolean known;
 
-  private OrderAge(Instant learnedAt, boolean seenToAppear) {
-    this.learnedAt = learnedAt;
-    this.orderedAt = learnedAt;
-    this.known = seenToAppear;
+  private OrderAge(Instant firstReadAt, boolean creationObserved) {
+    this.firstReadAt = firstReadAt;
+    this.orderedAt = firstReadAt;
+    this.known = creationObserved;
   }
 
   /**
-   * Returns the age of an order of which this instance learns now.
+   * Returns the age of an order that this instance reads now for the first time.
    *
-   * @param seenToAppear whether nobody had begun to carry it out yet
+   * @param creationObserved whether its roll-out had not started yet, so that the order is new
    */
-  public static OrderAge learned(Instant now, boolean seenToAppear) {
-    return new OrderAge(now, seenToAppear);
+  public static OrderAge learned(Instant now, boolean creationObserved) {
+    return new OrderAge(now, creationObserved);
   }
 
   /**
-   * Takes in how long ago the order was made as others count it, in milliseconds; 0 for unknown.
+   * Applies the age of the order that a peer reported, in milliseconds; 0 if the peer does not know
+   * it.
    */
   public void heard(long millis, Instant now) {
     if (millis <= 0) {
       return;
     }
-    Instant heardOf = now.minusMillis(millis);
-    if (!known || heardOf.isBefore(orderedAt)) {
-      orderedAt = heardOf;
+    Instant reportedOrderTime = now.minusMillis(millis);
+    if (!known || reportedOrderTime.isBefore(orderedAt)) {
+      orderedAt = reportedOrderTime;
       known = true;
     }
   }
 
   /**
-   * Returns how long ago the order was made.
+   * Returns the age of the order.
    *
-   * @param begunAtMillis the time of day at which its roll-out began, empty if it did not
+   * @param begunAtMillis the wall-clock time at which its roll-out started, in milliseconds since
+   *     1970; empty if it has not started
    */
   public Duration at(Instant now, OptionalLong begunAtMillis) {
-    Duration since = Duration.between(known ? orderedAt : learnedAt, now);
+    Duration elapsed = Duration.between(known ? orderedAt : firstReadAt, now);
     if (known || begunAtMillis.isEmpty()) {
-      return since;
+      return elapsed;
     }
-    Duration byTimeOfDay = Duration.ofMillis(now.toEpochMilli() - begunAtMillis.getAsLong());
-    return byTimeOfDay.compareTo(since) > 0 ? byTimeOfDay : since;
+    Duration byWallClock = Duration.ofMillis(now.toEpochMilli() - begunAtMillis.getAsLong());
+    return byWallClock.compareTo(elapsed) > 0 ? byWallClock : elapsed;
   }
 
-  /** Returns whether this instance saw the order appear, or heard of its age. */
+  /** Returns whether the age was measured by this instance or received from a peer. */
   public boolean isKnown() {
     return known;
   }
 
-  /** Returns what others are told, in milliseconds; 0 if this instance does not know. */
+  /** Returns the age to report to peers, in milliseconds; 0 if it is unknown. */
   public long told(Instant now) {
     return known ? Math.max(0, Duration.between(orderedAt, now).toMillis()) : 0;
   }
 
-  /** Returns when the order was made by the clock of this instance. */
+  /** Returns the time of the order by the clock of this instance. */
   public Instant orderedAt() {
     return orderedAt;
   }
--- a/org.oatlug/src/org/oatlug/internal/rollout/PairCounts.java
+++ b/org.oatlug/src/org/oatlug/internal/rollout/PairCounts.java
@@ -4,31 +4,32 @@
 package org.oatlug.internal.rollout;
 
 /**
- * In how many pairs of outcomes just one version failed. Immutable.
+ * Counts of the outcome pairs in which exactly one version failed. Immutable.
  *
- * <p>The counts of several instances can be added up; their evidence cannot be without a loss.
+ * <p>Instances exchange counts instead of evidence, because only counts can be added without a loss
+ * of information.
  *
- * @param worse the pairs in which just the candidate failed
- * @param better the pairs in which just the current version failed
+ * @param worse the pairs in which only the candidate failed
+ * @param better the pairs in which only the current version failed
  */
 public record PairCounts(long worse, long better) {
-  /** No pair at all. */
+  /** Counts of zero. */
   public static final PairCounts NONE = new PairCounts(0, 0);
 
-  /** More pairs than all instances see of one version; larger numbers are taken for errors. */
-  private static final long MOST = 1_000_000_000L;
+  /** Exceeds the pairs of one version at all instances; larger counts are rejected as invalid. */
+  private static final long MAXIMUM_COUNT = 1_000_000_000L;
 
-  /** Returns the later of two states of the same counts, which only grow. */
+  /** Returns the later of two states of the same counts, which never decrease. */
   public PairCounts join(PairCounts other) {
     return new PairCounts(Math.max(worse, other.worse), Math.max(better, other.better));
   }
 
-  /** Returns whether both are numbers that a count can have. */
+  /** Returns whether both counts are in their valid range. */
   public boolean isSound() {
-    return worse >= 0 && better >= 0 && worse <= MOST && better <= MOST;
+    return worse >= 0 && better >= 0 && worse <= MAXIMUM_COUNT && better <= MAXIMUM_COUNT;
   }
 
-  /** Returns the counts of both. */
+  /** Returns the sum of the counts. */
   public PairCounts plus(PairCounts other) {
     return new PairCounts(worse + other.worse, better + other.better);
   }
--- a/org.oatlug/src/org/oatlug/internal/rollout/RolloutGuard.java
+++ b/org.oatlug/src/org/oatlug/internal/rollout/RolloutGuard.java
@@ -29,22 +29,22 @@
 /**
  * Halts roll-outs whose candidate is worse than the current version.
  *
- * <p>An instance halts its own share by its own evidence; all instances send their evidence to the
- * one that has the duty for the roll-out, which adds it up (the wealths of independent bets
- * multiply) and halts the roll-out for all by a conditional update. An update that lost to an
- * operator is not repeated before the operator's object was read. A halted roll-out stays halted
- * until an operator acts. Owned by one event loop, not thread-safe.
+ * <p>An instance halts its own share on its own evidence. All instances send their evidence to the
+ * owner of the roll-out, which adds the logarithms (the wealths of independent tests multiply) and
+ * halts the roll-out at all instances by a conditional update. An update that conflicts with one of
+ * an operator is retried only after the operator's object was read. A halted roll-out stays halted
+ * until an operator changes it. Owned by one event loop, not thread-safe.
  */
 public final class RolloutGuard implements TickSystem {
-  /** The probability with which all instances together may ever halt a good candidate. */
+  /** Bound on the probability that all instances together ever halt a good candidate. */
   static final double ALPHA_TOGETHER = 0.004;
 
-  /** The probability with which one instance may ever halt its share of a good candidate. */
+  /** Bound on the probability that one instance ever halts its share of a good candidate. */
   static final double ALPHA_ALONE = 0.0005;
 
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final Duration INTERVAL = Duration.ofMillis(1000);
-  private static final Duration PATIENCE = Duration.ofMillis(500);
+  private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(500);
 
   private final Tables tables;
   private final Platform platform;
@@ -52,9 +52,9 @@
   private final PeerNetwork network;
   private final InstantSource clock;
   private final Meters meters;
-  private final Map<String, CandidateEvidence> own = new HashMap<>();
-  private final Map<String, Map<String, Double>> evidence = new HashMap<>();
-  private Instant next = Instant.EPOCH;
+  private final Map<String, CandidateEvidence> evidenceByCandidate = new HashMap<>();
+  private final Map<String, Map<String, Double>> peerEvidence = new HashMap<>();
+  private Instant nextTick = Instant.EPOCH;
 
   private RolloutGuard(
       Tables tables,
@@ -82,45 +82,46 @@
     return new RolloutGuard(tables, platform, membership, network, clock, meters);
   }
 
-  /** What is compared; each has a test of its own. */
+  /** Measure by which versions are compared, each with its own sequential test. */
   public enum Measure {
     ERRORS,
     RATINGS
   }
 
-  /** Returns whether the evidence of one instance is enough for it to halt its own share. */
+  /** Returns whether the evidence of one instance suffices for it to halt its own share. */
   public static boolean refutesAlone(double logEvidence) {
     return logEvidence >= -Math.log(ALPHA_ALONE);
   }
 
-  /** Returns whether the evidence of all instances, added up, refutes that a candidate is good. */
+  /** Returns whether the summed evidence of all instances suffices to halt the roll-out. */
   public static boolean refutesTogether(double logEvidence) {
     return logEvidence >= -Math.log(ALPHA_TOGETHER);
   }
 
-  /** Takes in an outcome of a version. */
+  /** Records an outcome of a version; outcomes outside a running roll-out are ignored. */
   public void outcome(String model, String version, Measure measure, boolean failed) {
     Optional<Rollout> rollout = running(model);
     if (rollout.isEmpty()) {
       return;
     }
     String candidate = rollout.get().candidate();
-    boolean ofCandidate = version.equals(candidate);
-    boolean ofCurrent = tables.catalogue().currentVersion(model).equals(Optional.of(version));
-    if (!ofCandidate && !ofCurrent) {
+    boolean isCandidate = version.equals(candidate);
+    boolean isCurrent = tables.catalogue().currentVersion(model).equals(Optional.of(version));
+    if (!isCandidate && !isCurrent) {
       return;
     }
-    CandidateEvidence seen = ownEvidence(candidate);
-    seen.add(measure, ofCandidate, failed);
-    if (seen.refutesAlone() && tables.haltedHere().add(candidate)) {
+    CandidateEvidence candidateEvidence = ownEvidence(candidate);
+    candidateEvidence.add(measure, isCandidate, failed);
+    if (candidateEvidence.refutesAlone() && tables.haltedHere().add(candidate)) {
       meters.count("rollout.halted-here");
-      logger.atWarning().log("candidate %s gets no new sessions from this instance", candidate);
+      logger.atWarning().log(
+          "candidate %s is worse: this instance assigns it no sessions", candidate);
     }
   }
 
-  /** Takes in the evidence of another instance. */
+  /** Stores the evidence of another instance; it replaces what that instance sent before. */
   public void handle(Member from, PeerMessage.GuardEvidence message) {
-    evidence
+    peerEvidence
         .computeIfAbsent(message.candidate(), unused -> new HashMap<>())
         .put(from.process(), message.logEvidence());
   }
@@ -128,32 +129,36 @@
   @Override
   public void tick() {
     Instant now = clock.instant();
-    if (now.isBefore(next)) {
+    if (now.isBefore(nextTick)) {
       return;
     }
-    next = now.plus(INTERVAL);
+    nextTick = now.plus(INTERVAL);
     for (String name : tables.catalogue().names(Kinds.ROLLOUT)) {
       rolloutOf(name)
           .filter(rollout -> rollout.state() == Rollout.State.RUNNING)
-          .ifPresent(rollout -> share(name, rollout));
+          .ifPresent(rollout -> shareEvidence(name, rollout));
     }
   }
 
-  private void share(String name, Rollout rollout) {
-    double own = ownEvidence(rollout.candidate()).logEvidence();
-    Optional<Member> duty = membership.ownerOf("rollout-" + name);
-    if (duty.isEmpty() || membership.isSelf(duty.get())) {
-      judge(name, rollout, own);
+  private void shareEvidence(String name, Rollout rollout) {
+    double ownLogEvidence = ownEvidence(rollout.candidate()).logEvidence();
+    Optional<Member> owner = membership.ownerOf("rollout-" + name);
+    if (owner.isEmpty() || membership.isSelf(owner.get())) {
+      haltIfRefuted(name, rollout, ownLogEvidence);
       return;
     }
-    PeerMessage message = new PeerMessage.GuardEvidence(rollout.candidate(), own);
-    network.ask(duty.get(), message, PATIENCE).subscribe().with(answer -> {}, failure -> {});
+    PeerMessage message = new PeerMessage.GuardEvidence(rollout.candidate(), ownLogEvidence);
+    network
+        .ask(owner.get(), message, REQUEST_TIMEOUT)
+        .subscribe()
+        .with(answer -> {}, failure -> {});
   }
 
-  private void judge(String name, Rollout rollout, double own) {
-    double sum = own;
-    for (double other : evidence.getOrDefault(rollout.candidate(), Map.of()).values()) {
-      sum += other;
+  private void haltIfRefuted(String name, Rollout rollout, double ownLogEvidence) {
+    double sum = ownLogEvidence;
+    for (double peerLogEvidence :
+        peerEvidence.getOrDefault(rollout.candidate(), Map.of()).values()) {
+      sum += peerLogEvidence;
     }
     if (refutesTogether(sum)) {
       halt(name);
@@ -162,29 +167,29 @@
 
   private void halt(String name) {
     ObjectKey key = ObjectKey.valueOf(Kinds.ROLLOUT, name);
-    Optional<StoredObject> known = tables.catalogue().join().get(key);
+    Optional<StoredObject> stored = tables.catalogue().join().get(key);
     Optional<Rollout> rollout = rolloutOf(name);
-    if (known.isEmpty() || rollout.isEmpty()) {
+    if (stored.isEmpty() || rollout.isEmpty()) {
       return;
     }
     JsonNode value = Json.STRICT.valueToTree(rollout.get().withState(Rollout.State.HALTED));
     meters.count("rollout.halt");
-    logger.atWarning().log("roll-out %s is halted", name);
+    logger.atWarning().log("halting roll-out %s: candidate is worse than current version", name);
     platform
-        .put(key, known.get().revision(), value)
+        .put(key, stored.get().revision(), value)
         .subscribe()
         .with(
             version -> {
               tables.catalogue().merge(StoredObject.of(key, version, value));
-              withdrawIfAsked(rollout.get());
+              withdrawIfConfigured(rollout.get());
             },
             failure -> meters.count("retry.rollout-halt"));
   }
 
-  private void withdrawIfAsked(Rollout rollout) {
+  private void withdrawIfConfigured(Rollout rollout) {
     ObjectKey key = ObjectKey.valueOf(Kinds.VERSION, rollout.candidate());
-    Optional<StoredObject> known = tables.catalogue().join().get(key);
-    if (rollout.onHalt() != Rollout.OnHalt.WITHDRAW || known.isEmpty()) {
+    Optional<StoredObject> stored = tables.catalogue().join().get(key);
+    if (rollout.onHalt() != Rollout.OnHalt.WITHDRAW || stored.isEmpty()) {
       return;
     }
     tables
@@ -194,7 +199,7 @@
         .ifPresent(
             version ->
                 platform
-                    .put(key, known.get().revision(), Json.STRICT.valueToTree(version))
+                    .put(key, stored.get().revision(), Json.STRICT.valueToTree(version))
                     .subscribe()
                     .with(written -> {}, failure -> meters.count("retry.rollout-halt")));
   }
@@ -211,6 +216,6 @@
   }
 
   private CandidateEvidence ownEvidence(String candidate) {
-    return own.computeIfAbsent(candidate, unused -> CandidateEvidence.create());
+    return evidenceByCandidate.computeIfAbsent(candidate, unused -> CandidateEvidence.create());
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/rollout/SequentialTest.java
+++ b/org.oatlug/src/org/oatlug/internal/rollout/SequentialTest.java
@@ -6,13 +6,14 @@
 import java.util.ArrayDeque;
 
 /**
- * A test whether a candidate fails more often than the current version, valid at any stopping time.
+ * Sequential test of whether a candidate fails more often than the current version, valid at any
+ * stopping time.
  *
- * <p>Outcomes of the two versions are paired in their order of arrival. If the candidate is no
- * worse, the candidate is the one that failed in at most half of the pairs in which just one
- * failed. The test bets against that with several stakes at once; the mean wealth is a
- * supermartingale, so by Ville's inequality it ever exceeds {@code 1 / alpha} with a probability of
- * {@code alpha} at most. Not thread-safe.
+ * <p>Outcomes of the two versions are paired in their order of arrival. Under the null hypothesis
+ * that the candidate is no worse, it is the version that failed in at most half of the pairs in
+ * which exactly one version failed. The test bets against this hypothesis with several stakes in
+ * parallel; the mean wealth is a supermartingale under it, so by Ville's inequality the probability
+ * that it ever exceeds {@code 1 / alpha} is at most {@code alpha}. Not thread-safe.
  */
 public final class SequentialTest {
   private static final double[] STAKES = {0.2, 0.5, 0.8};
@@ -24,35 +25,37 @@
 
   private SequentialTest() {}
 
-  /** Returns a test without evidence. */
+  /** Returns a test without outcomes. */
   public static SequentialTest create() {
     return new SequentialTest();
   }
 
-  /** Takes in an outcome of the current version. */
+  /** Records an outcome of the current version. */
   public void current(boolean failed) {
-    add(current, failed);
-    pair();
+    enqueue(current, failed);
+    matchPairs();
   }
 
-  /** Takes in an outcome of the candidate. */
+  /** Records an outcome of the candidate. */
   public void candidate(boolean failed) {
-    add(candidate, failed);
-    pair();
+    enqueue(candidate, failed);
+    matchPairs();
   }
 
-  /** Drops the outcomes that have no counterpart yet; later ones are not compared with them. */
+  /**
+   * Discards the outcomes that are not paired yet, so that later ones are not compared with them.
+   */
   public void forgetUnpaired() {
     current.clear();
     candidate.clear();
   }
 
-  /** Returns the logarithm of the evidence against the candidate; 0 is none. */
+  /** Returns the natural logarithm of the evidence against the candidate; 0 means no evidence. */
   public double logEvidence() {
     return logEvidence(counts);
   }
 
-  /** Returns the logarithm of the evidence of so many pairs; infinite beyond any doubt. */
+  /** Returns the natural logarithm of the evidence of these pairs; infinite if it overflows. */
   public static double logEvidence(PairCounts pairs) {
     double sum = 0;
     for (double stake : STAKES) {
@@ -61,29 +64,29 @@
     return Math.log(sum / STAKES.length);
   }
 
-  /** Returns the pairs in which just one version failed. */
+  /** Returns the counts of pairs in which exactly one version failed. */
   public PairCounts counts() {
     return counts;
   }
 
-  private static void add(ArrayDeque<Boolean> outcomes, boolean failed) {
+  private static void enqueue(ArrayDeque<Boolean> outcomes, boolean failed) {
     if (outcomes.size() >= MAXIMUM_UNPAIRED) {
       outcomes.removeFirst();
     }
     outcomes.addLast(failed);
   }
 
-  private void pair() {
+  private void matchPairs() {
     while (!current.isEmpty() && !candidate.isEmpty()) {
       boolean candidateFailed = candidate.removeFirst();
       boolean currentFailed = current.removeFirst();
       if (candidateFailed != currentFailed) {
-        bet(candidateFailed);
+        countPair(candidateFailed);
       }
     }
   }
 
-  private void bet(boolean candidateFailed) {
+  private void countPair(boolean candidateFailed) {
     counts = counts.plus(candidateFailed ? new PairCounts(1, 0) : new PairCounts(0, 1));
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/rollout/VersionEvidence.java
+++ b/org.oatlug/src/org/oatlug/internal/rollout/VersionEvidence.java
@@ -8,17 +8,17 @@
 import org.oatlug.platform.StoreRevision;
 
 /**
- * What was seen of a version since the order to bring it in, by one instance or by several.
+ * Evidence about a version since its roll-out was ordered, from one instance or from several.
  * Immutable, thread-safe.
  *
  * @param service the service
- * @param version the version that is brought in
+ * @param version the version under roll-out
  * @param orderedAt the store's revision of the order
- * @param pairs the pairs of answers in which just one version was bad
- * @param answers how many answers the version gave
- * @param refuted whether it is known to be bad
- * @param ageMillis how long ago it was ordered, in milliseconds, counted by whoever saw the order
- *     appear; 0 if nobody did
+ * @param pairs the counts of response pairs in which exactly one version was bad
+ * @param answers the number of responses of the version
+ * @param refuted whether the version is known to be worse
+ * @param ageMillis the age of the order in milliseconds, measured by the instances that observed
+ *     its creation; 0 if none did
  */
 public record VersionEvidence(
     String service,
@@ -28,19 +28,19 @@
     long answers,
     boolean refuted,
     long ageMillis) {
-  private static final long MOST_ANSWERS = 1_000_000_000L;
+  private static final long MAXIMUM_ANSWERS = 1_000_000_000L;
 
-  /** Longer than any version is brought in: thirty days, in milliseconds. */
-  private static final long MOST_AGE_MILLIS = 2_592_000_000L;
+  /** Thirty days, in milliseconds; exceeds the duration of any roll-out. */
+  private static final long MAXIMUM_AGE_MILLIS = 2_592_000_000L;
 
-  /** Returns whether both are about the same order. */
+  /** Returns whether both belong to the same roll-out order. */
   public boolean isOfSameOrder(VersionEvidence other) {
     return service.equals(other.service)
         && version.equals(other.version)
         && orderedAt.equals(other.orderedAt);
   }
 
-  /** Returns what both saw together, who saw different answers. */
+  /** Returns the sum of the evidence of two disjoint sets of responses. */
   public VersionEvidence plus(VersionEvidence other) {
     return new VersionEvidence(
         service,
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Returns the later of two states of what the same instances saw. Counts only grow, so it matters
-   * neither in which order states arrive nor how often.
+   * Returns the later of two states of the evidence of the same instances. Counts never decrease,
+   * so the result depends neither on the order in which states arrive nor on duplicates.
    */
   public VersionEvidence join(VersionEvidence other) {
     return new VersionEvidence(
@@ -67,12 +67,12 @@
         Math.max(ageMillis, other.ageMillis));
   }
 
-  /** Returns the same some time later. */
-  public VersionEvidence after(Duration passed) {
-    return ageMillis == 0 ? this : withAge(ageMillis + passed.toMillis());
+  /** Returns the same evidence with the age of the order advanced; an unknown age stays unknown. */
+  public VersionEvidence after(Duration elapsed) {
+    return ageMillis == 0 ? this : withAge(ageMillis + elapsed.toMillis());
   }
 
-  /** Returns the same without the time that has passed, to tell whether anything else changed. */
+  /** Returns the same evidence without an age, for comparing whether anything else changed. */
   public VersionEvidence ageless() {
     return withAge(0);
   }
@@ -81,14 +81,14 @@
     return new VersionEvidence(service, version, orderedAt, pairs, answers, refuted, millis);
   }
 
-  /** Returns what is wrong with evidence that a peer sent, empty if it can be taken in. */
+  /** Returns the first problem of evidence that a peer sent, empty if it is valid. */
   public Optional<String> problem() {
     if (service == null || version == null || orderedAt == null || pairs == null) {
-      return Optional.of("evidence lacks a field");
+      return Optional.of("evidence lacks a required field");
     }
-    boolean soundAge = ageMillis >= 0 && ageMillis <= MOST_AGE_MILLIS;
-    if (answers < 0 || answers > MOST_ANSWERS || !pairs.isSound() || !soundAge) {
-      return Optional.of("evidence has a number that no count can have");
+    boolean validAge = ageMillis >= 0 && ageMillis <= MAXIMUM_AGE_MILLIS;
+    if (answers < 0 || answers > MAXIMUM_ANSWERS || !pairs.isSound() || !validAge) {
+      return Optional.of("evidence has a count or an age out of range");
     }
     return Optional.empty();
   }
--- a/org.oatlug/src/org/oatlug/internal/rollout/package-info.java
+++ b/org.oatlug/src/org/oatlug/internal/rollout/package-info.java
@@ -1,2 +1,2 @@
-/** The guard that halts a version that turned bad. */
+/** Comparison of versions during a roll-out, and the guard that halts a bad candidate. */
 package org.oatlug.internal.rollout;
--- a/org.oatlug/src/org/oatlug/internal/session/SessionKeys.java
+++ b/org.oatlug/src/org/oatlug/internal/session/SessionKeys.java
@@ -7,14 +7,15 @@
 import java.util.Optional;
 
 /**
- * The keys that sign sessions: one signs, the others still verify. Immutable, thread-safe.
+ * Keys of session tokens: one key signs, all keys verify, so that keys can be rotated. Immutable,
+ * thread-safe.
  *
- * @param signingKeyId the id of the key that signs
+ * @param signingKeyId the id of the key that signs new tokens
  * @param keys the keys by id
  */
 public record SessionKeys(String signingKeyId, Map<String, String> keys) {
 
-  /** Returns the key with this id. */
+  /** Returns the key with this id, empty if it is unknown. */
   public Optional<String> key(String id) {
     return Optional.ofNullable(keys.get(id));
   }
--- a/org.oatlug/src/org/oatlug/internal/session/SessionToken.java
+++ b/org.oatlug/src/org/oatlug/internal/session/SessionToken.java
@@ -14,42 +14,42 @@
 import org.oatlug.internal.util.Json;
 
 /**
- * The version per model that a session is bound to, as the caller carries it.
+ * Signed token, held by the caller, that binds a session to a version per model.
  *
- * <p>Invariant: a token that verifies was signed by an instance that had one of the keys, for this
- * workspace. Any instance can read it without asking another. Immutable.
+ * <p>Invariant: a token that verifies was signed for its workspace by an instance that had one of
+ * the keys. Any instance can verify it without contacting another. Immutable.
  *
- * @param id the name of the session
+ * @param id the id of the session
  * @param workspace the workspace for which it was signed
- * @param versions the version per model
+ * @param versions the bound version per model
  */
 public record SessionToken(String id, String workspace, Map<String, String> versions) {
   private static final String SEPARATOR = ".";
-  private static final int PARTS = 3;
+  private static final int PART_COUNT = 3;
 
-  /** Returns this session with one more binding. */
+  /** Returns this session with a model bound to a version; an existing binding is kept. */
   public SessionToken binding(String model, String version) {
     Map<String, String> bound = new TreeMap<>(versions);
     bound.putIfAbsent(model, version);
     return new SessionToken(id, workspace, bound);
   }
 
-  /** Returns the signed text of this session. */
+  /** Returns the signed token in its text form. */
   public String sign(SessionKeys keys) {
-    String payload = encode(write());
+    String payload = encode(toJson());
     String signed = keys.signingKeyId() + SEPARATOR + payload;
     return signed + SEPARATOR + mac(keys.key(keys.signingKeyId()).orElseThrow(), signed);
   }
 
   /**
-   * Reads a signed text.
+   * Parses a signed token and verifies its signature.
    *
-   * @throws SessionTokenInvalidException if it is malformed, signed by an unknown key or changed
+   * @throws SessionTokenInvalidException if it is malformed, signed by an unknown key or altered
    */
   public static SessionToken verify(String text, SessionKeys keys)
       throws SessionTokenInvalidException {
     String[] parts = text.split("\\.", -1);
-    if (parts.length != PARTS) {
+    if (parts.length != PART_COUNT) {
       throw new SessionTokenInvalidException("it has not three parts");
     }
     String key =
@@ -57,19 +57,19 @@
             .orElseThrow(() -> new SessionTokenInvalidException("its key is unknown"));
     String signed = parts[0] + SEPARATOR + parts[1];
     byte[] expected = mac(key, signed).getBytes(StandardCharsets.UTF_8);
-    byte[] given = parts[2].getBytes(StandardCharsets.UTF_8);
-    if (!java.security.MessageDigest.isEqual(expected, given)) {
+    byte[] actual = parts[2].getBytes(StandardCharsets.UTF_8);
+    if (!java.security.MessageDigest.isEqual(expected, actual)) {
       throw new SessionTokenInvalidException("its signature does not match");
     }
     try {
-      byte[] payload = Base64.getUrlDecoder().decode(parts[1]);
-      return Json.STRICT.readValue(payload, SessionToken.class);
+      byte[] content = Base64.getUrlDecoder().decode(parts[1]);
+      return Json.STRICT.readValue(content, SessionToken.class);
     } catch (IllegalArgumentException | java.io.IOException e) {
       throw new SessionTokenInvalidException("its content cannot be read");
     }
   }
 
-  private byte[] write() {
+  private byte[] toJson() {
     try {
       return Json.STRICT.writeValueAsBytes(this);
     } catch (JsonProcessingException e) {
