--- a/org.oatlug/src/org/oatlug/gateway/AnswerHead.java
+++ b/org.oatlug/src/org/oatlug/gateway/AnswerHead.java
@@ -10,20 +10,21 @@
 import java.util.OptionalLong;
 
 /**
- * The head of an upstream's answer, read from its wire form. Immutable.
+ * Head of an upstream's response, decoded from its wire form. Immutable.
  *
  * @param status the HTTP status
- * @param requestId the id of the request that it answers
- * @param verdict what the upstream says of the request
- * @param load the upstream's load, if it tells
- * @param confidence the model's opinion of its answer, 0 to 100
- * @param coldMillis how much longer the upstream is cold, in milliseconds, if it tells
- * @param answeredBy the upstream that answered, if it tells; another one may have the address
- * @param leaving whether the upstream says that it is about to go
- * @param rest for how long the upstream that refused wants nothing from this instance; empty if it
- *     does not ask
- * @param limitPerSecond the requests a second that the upstream takes from all instances together;
- *     empty if it names no limit
+ * @param requestId the id of the request to which it responds
+ * @param verdict whether the upstream may have executed the request
+ * @param load the load of the upstream, if reported
+ * @param confidence the model's confidence in its response, 0 to 100
+ * @param coldMillis the remaining duration of the cold start in milliseconds, if reported
+ * @param answeredBy the upstream that responded, if reported; it differs from the addressed one if
+ *     the address was reassigned
+ * @param leaving whether the upstream reports that it is about to shut down
+ * @param rest how long this instance has to back off from an upstream that refused; empty if not
+ *     requested
+ * @param limitPerSecond the limit of requests per second that the upstream accepts from all
+ *     instances together; empty if it advertises none
  */
 public record AnswerHead(
     int status,
@@ -37,22 +38,22 @@
     Optional<Duration> rest,
     OptionalDouble limitPerSecond) {
 
-  /** What an upstream says of the request. */
+  /** Statement of an upstream about the execution of a request. */
   public enum Verdict {
-    /** It ran, or may have run. */
+    /** The request was executed, or may have been. */
     RAN,
-    /** It did not run and will not run there. */
+    /** The request was not executed and will not be executed there. */
     NOT_RUN,
-    /** It did not run: another upstream has the address now. */
+    /** The request was not executed: the address now belongs to another upstream. */
     WRONG_UPSTREAM
   }
 
   /**
-   * The load of an upstream when it answered.
+   * Load of an upstream at the time of its response.
    *
-   * @param running the requests that ran
-   * @param waiting the requests that waited
-   * @param slots how many may run at once
+   * @param running the number of running requests
+   * @param waiting the number of queued requests
+   * @param slots the maximum number of concurrently running requests
    */
   public record Load(int running, int waiting, int slots) {}
 }
--- a/org.oatlug/src/org/oatlug/gateway/AttemptTerms.java
+++ b/org.oatlug/src/org/oatlug/gateway/AttemptTerms.java
@@ -9,14 +9,14 @@
 import java.util.OptionalLong;
 
 /**
- * What the system adds to a request that it passes on. Immutable.
+ * Terms that the system adds to a request when it forwards it to an upstream. Immutable.
  *
- * @param upstream the name of the upstream that shall answer; another one at its address refuses
+ * @param upstream the name of the addressed upstream; a different upstream at its address refuses
  * @param workspace the workspace of the caller's key
- * @param timeLeft how long the upstream may work
- * @param model the model that shall answer, empty to keep the caller's
- * @param resumeAfter the last event that the caller has, if a stream goes on
- * @param priority the rank at the upstream, 0 is the most urgent
+ * @param timeLeft the time that the upstream has for the request
+ * @param model the requested model, empty to keep the caller's
+ * @param resumeAfter the number of the last event that the caller received, if a stream is resumed
+ * @param priority the priority at the upstream, 0 is the most urgent
  */
 public record AttemptTerms(
     String upstream,
--- a/org.oatlug/src/org/oatlug/gateway/CallerLimits.java
+++ b/org.oatlug/src/org/oatlug/gateway/CallerLimits.java
@@ -4,15 +4,15 @@
 package org.oatlug.gateway;
 
 /**
- * What callers may send and how long they may take. Immutable.
+ * Size limits and timeouts of callers' requests. Immutable.
  *
- * @param headerBytes the longest head of a request, in bytes
- * @param bodyBytes the longest body, in bytes
- * @param headerTimeoutMillis how long the head of a request may take to arrive
- * @param idleTimeoutMillis how long a connection may rest
+ * @param headerBytes the maximum size of a request head, in bytes
+ * @param bodyBytes the maximum size of a request body, in bytes
+ * @param headerTimeoutMillis the timeout for receiving a request head, in milliseconds
+ * @param idleTimeoutMillis the timeout of an idle connection, in milliseconds
  */
 public record CallerLimits(
     int headerBytes, int bodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {
-  /** The limits while no configuration is known: those that most deployments use. */
+  /** Limits in use until a configuration is read: those of most deployments. */
   public static final CallerLimits DEFAULT = new CallerLimits(16384, 4194304, 3000, 15000);
 }
--- a/org.oatlug/src/org/oatlug/gateway/CallerProtocol.java
+++ b/org.oatlug/src/org/oatlug/gateway/CallerProtocol.java
@@ -7,16 +7,16 @@
 import io.vertx.core.http.HttpServerRequest;
 import org.oatlug.errors.RequestInvalidException;
 
-/** The wire form of callers' requests. Implementations are stateless. */
+/** Decodes the wire form of callers' requests. Implementations are stateless. */
 public interface CallerProtocol {
 
   /**
-   * Reads the head of a request.
+   * Decodes the head of a request.
    *
-   * @throws RequestInvalidException if it breaks the protocol
+   * @throws RequestInvalidException if it violates the protocol
    */
   RequestHead read(HttpServerRequest request) throws RequestInvalidException;
 
-  /** Returns the headers that go on to an upstream: none that are the system's to set. */
+  /** Returns the headers to forward to an upstream, without those that the system itself sets. */
   MultiMap passedOn(HttpServerRequest request);
 }
--- a/org.oatlug/src/org/oatlug/gateway/DeploymentAdapter.java
+++ b/org.oatlug/src/org/oatlug/gateway/DeploymentAdapter.java
@@ -7,16 +7,16 @@
 import org.oatlug.platform.Platform;
 
 /**
- * Translates between a deployment's wire forms and the types of this package.
+ * Translates between the wire forms of a deployment and the types of this package.
  *
- * <p>Found by {@link java.util.ServiceLoader}. Stateless, used from one event loop.
+ * <p>Loaded by {@link java.util.ServiceLoader}. Stateless, used from one event loop.
  */
 public interface DeploymentAdapter {
 
-  /** Returns the protocol of callers. */
+  /** Returns the protocol between callers and the system. */
   CallerProtocol callers();
 
-  /** Returns the protocol of upstreams. */
+  /** Returns the protocol between the system and upstreams. */
   UpstreamProtocol upstreams();
 
   /** Returns the store of the deployment, whose objects have the kinds of {@link GatewayKinds}. */
--- a/org.oatlug/src/org/oatlug/gateway/GatewayKinds.java
+++ b/org.oatlug/src/org/oatlug/gateway/GatewayKinds.java
@@ -3,19 +3,20 @@
 
 package org.oatlug.gateway;
 
-/** The kinds of objects that routed services read from the store. */
+/** Kinds of the stored objects that configure routed services. */
 public final class GatewayKinds {
-  /** The routing configuration, one object. */
+  /** The routing configuration, a single object. */
   public static final String ROUTING = "routing";
 
-  /** The upstreams, an object each, named by themselves at each start. */
+  /** The registered upstreams, one object for each, written by the upstream at each start. */
   public static final String UPSTREAM = "upstream";
 
-  /** The roll-outs, an object a service. */
+  /** The roll-outs, one object per service. */
   public static final String ROLLOUT = "rollout";
 
   /**
-   * The availability zones whose upstreams shall get nothing, an object each, named by the zone.
+   * The evacuated availability zones, whose upstreams receive no requests; one object per zone,
+   * named like it.
    */
   public static final String EVACUATION = "evacuation";
 
--- a/org.oatlug/src/org/oatlug/gateway/GatewaySettings.java
+++ b/org.oatlug/src/org/oatlug/gateway/GatewaySettings.java
@@ -8,16 +8,16 @@
 import java.util.Optional;
 
 /**
- * The settings of one entry instance that serves routed services. Immutable.
+ * Settings of one entry instance that serves routed services. Immutable.
  *
  * @param name the name of the instance
  * @param zone its availability zone
- * @param callers where callers connect
- * @param readiness where the balancer asks whether the instance is ready
+ * @param callers the address for connections of callers
+ * @param readiness the address of the readiness check of the load balancer
  * @param metrics the port of the counters and histograms, on the host of {@code callers}
- * @param peers where other instances connect, the shared key, and some of them to begin with
- * @param platform the deployment's store
- * @param bounds what the deployment promises its users
+ * @param peers the address for connections of other instances, the shared key and the seeds
+ * @param platform the address of the deployment's store
+ * @param bounds the service levels that the deployment guarantees
  */
 public record GatewaySettings(
     String name,
@@ -30,9 +30,9 @@
     Bounds bounds) {
 
   private static final int MILLIS_PER_SECOND = 1000;
-  private static final int MOST_PORT = 65_535;
+  private static final int MAXIMUM_PORT = 65_535;
 
-  /** Refuses settings that lack a field. */
+  /** Rejects settings that lack a field or have an invalid port. */
   public GatewaySettings {
     requireField("name", name);
     requireField("zone", zone);
@@ -41,7 +41,7 @@
     requireField("peers", peers);
     requireField("platform", platform);
     requireField("bounds", bounds);
-    require(isPort(metrics), "metrics is " + metrics + ", not a port of 1 to " + MOST_PORT);
+    require(isPort(metrics), "metrics is " + metrics + ", not a port of 1 to " + MAXIMUM_PORT);
   }
 
   private static void requireField(String field, Object value) {
@@ -49,28 +49,32 @@
   }
 
   private static boolean isPort(int number) {
-    return number > 0 && number <= MOST_PORT;
+    return number > 0 && number <= MAXIMUM_PORT;
   }
 
-  private static void require(boolean holds, String problem) {
-    if (!holds) {
+  private static void require(boolean condition, String problem) {
+    if (!condition) {
       throw new IllegalArgumentException(problem);
     }
   }
 
   /**
-   * An address, written {@code HOST:PORT}.
+   * Network address, written {@code HOST:PORT}.
    *
-   * @param host the IP number
+   * @param host the IP address
    * @param port the port
    */
   public record Endpoint(String host, int port) {
-    /** Returns the address that the text names. */
+    /**
+     * Parses an address.
+     *
+     * @throws IllegalArgumentException if the text is not {@code HOST:PORT} with a valid port
+     */
     public static Endpoint parse(String text) {
       int colon = text.lastIndexOf(':');
       String port = text.substring(colon + 1);
-      boolean sound = colon > 0 && port.matches("\\d{1,5}") && isPort(Integer.parseInt(port));
-      require(sound, "'" + text + "' is not HOST:PORT");
+      boolean valid = colon > 0 && port.matches("\\d{1,5}") && isPort(Integer.parseInt(port));
+      require(valid, "'" + text + "' is not HOST:PORT");
       return new Endpoint(text.substring(0, colon), Integer.parseInt(port));
     }
 
@@ -81,11 +85,11 @@
   }
 
   /**
-   * The peers' protocol.
+   * Settings of the protocol between instances.
    *
-   * @param listen where other instances connect
+   * @param listen the address for connections of other instances
    * @param key the shared key
-   * @param seeds instances to begin with; may be out of date
+   * @param seeds the instances to contact first; may be out of date
    */
   public record Peers(Endpoint listen, String key, List<Endpoint> seeds) {
     @Override
@@ -95,16 +99,16 @@
   }
 
   /**
-   * What the deployment promises its users.
+   * Service levels that the deployment guarantees.
    *
-   * @param grace how long a planned stop may take
-   * @param retryShare the retries that a service may receive, as a share of its requests
-   * @param retryReserve the retries beyond that share, of all instances together
-   * @param exposureShare the share of requests that a version under roll-out may receive
-   * @param session the longest pause between requests of one session
-   * @param coldShare the requests that a cold upstream may receive in one second from all instances
-   *     together, as a multiple of those that it says it carries
-   * @param coldReserve the requests beyond that
+   * @param grace the maximum duration of a planned shutdown
+   * @param retryShare the maximum retries of a service, as a share of its requests
+   * @param retryReserve the retries allowed beyond that share, by all instances together
+   * @param exposureShare the maximum share of requests to a version under roll-out
+   * @param session the time without a request after which a session ends
+   * @param coldShare the maximum requests per second to a cold upstream from all instances
+   *     together, as a multiple of the rate that it advertises
+   * @param coldReserve the requests allowed beyond that rate
    */
   public record Bounds(
       Duration grace,
@@ -114,35 +118,40 @@
       Duration session,
       double coldShare,
       double coldReserve) {
-    /** Without a promise about planned stops one ends soon. */
+    /** Applies if the settings have no grace period: a planned shutdown then ends soon. */
     private static final double DEFAULT_GRACE_SECONDS = 5;
 
-    /** Without a promise about retries there are few. */
+    /** Applies if the settings have no bound on retries: there are few then. */
     private static final double DEFAULT_RETRY_SHARE = 0.1;
 
     private static final double DEFAULT_RETRY_RESERVE = 10;
 
-    /** Without a promise about new versions they get little. */
+    /**
+     * Applies if the settings have no bound on exposure: new versions then receive little traffic.
+     */
     private static final double DEFAULT_EXPOSURE_SHARE = 0.05;
 
-    /** Sessions that are kept for longer than promised do no harm. */
+    /** Applies if the settings have no session time; keeping sessions for too long is harmless. */
     private static final double DEFAULT_SESSION_SECONDS = 30;
 
-    /** Without a promise about cold upstreams they get no more than they say they carry. */
+    /**
+     * Applies if the settings have no cold-start bound: the advertised rate is not exceeded then.
+     */
     private static final double DEFAULT_COLD_SHARE = 1;
 
     private static final double DEFAULT_COLD_RESERVE = 0;
 
-    /** No time among the bounds is longer: an hour. */
-    private static final double MOST_SECONDS = 3600;
+    /** Maximum of each duration among the bounds: one hour. */
+    private static final double MAXIMUM_SECONDS = 3600;
 
-    /** No count among the bounds is larger. */
-    private static final double MOST_COUNT = 1e9;
+    /** Maximum of each count among the bounds. */
+    private static final double MAXIMUM_COUNT = 1e9;
 
     /**
-     * Returns bounds as the settings name them; a field that is missing has a default that is safe.
+     * Returns the bounds of the settings; missing fields have conservative defaults.
      *
-     * @throws IllegalArgumentException if a value makes no sense, with its field and unit
+     * @throws IllegalArgumentException if a value is out of range; the message has its field and
+     *     unit
      */
     public static Bounds of(
         Optional<Double> graceSeconds,
@@ -154,26 +163,32 @@
         Optional<Double> coldReserve) {
       return new Bounds(
           seconds("graceSeconds", graceSeconds, DEFAULT_GRACE_SECONDS),
-          within("retryShare", retryShare, DEFAULT_RETRY_SHARE, MOST_COUNT, "retries a request"),
-          within("retryReserve", retryReserve, DEFAULT_RETRY_RESERVE, MOST_COUNT, "retries"),
-          within("exposureShare", exposureShare, DEFAULT_EXPOSURE_SHARE, 1, "of all requests"),
+          checkRange(
+              "retryShare", retryShare, DEFAULT_RETRY_SHARE, MAXIMUM_COUNT, "retries per request"),
+          checkRange("retryReserve", retryReserve, DEFAULT_RETRY_RESERVE, MAXIMUM_COUNT, "retries"),
+          checkRange("exposureShare", exposureShare, DEFAULT_EXPOSURE_SHARE, 1, "of all requests"),
           seconds("sessionSeconds", sessionSeconds, DEFAULT_SESSION_SECONDS),
-          within("coldShare", coldShare, DEFAULT_COLD_SHARE, MOST_COUNT, "times what is carried"),
-          within("coldReserve", coldReserve, DEFAULT_COLD_RESERVE, MOST_COUNT, "requests"));
+          checkRange(
+              "coldShare",
+              coldShare,
+              DEFAULT_COLD_SHARE,
+              MAXIMUM_COUNT,
+              "times the advertised rate"),
+          checkRange("coldReserve", coldReserve, DEFAULT_COLD_RESERVE, MAXIMUM_COUNT, "requests"));
     }
 
-    private static Duration seconds(String field, Optional<Double> value, double missing) {
-      double seconds = within(field, value, missing, MOST_SECONDS, "seconds");
+    private static Duration seconds(String field, Optional<Double> value, double defaultSeconds) {
+      double seconds = checkRange(field, value, defaultSeconds, MAXIMUM_SECONDS, "seconds");
       return Duration.ofMillis(Math.round(seconds * MILLIS_PER_SECOND));
     }
 
-    private static double within(
-        String field, Optional<Double> value, double missing, double most, String unit) {
-      double taken = value.orElse(missing);
+    private static double checkRange(
+        String field, Optional<Double> value, double defaultValue, double maximum, String unit) {
+      double checked = value.orElse(defaultValue);
       require(
-          taken >= 0 && taken <= most,
-          String.format("bounds.%s is %s, not 0 to %.0f %s", field, taken, most, unit));
-      return taken;
+          checked >= 0 && checked <= maximum,
+          String.format("bounds.%s is %s, not 0 to %.0f %s", field, checked, maximum, unit));
+      return checked;
     }
   }
 }
--- a/org.oatlug/src/org/oatlug/gateway/Generation.java
+++ b/org.oatlug/src/org/oatlug/gateway/Generation.java
@@ -7,14 +7,14 @@
 import java.util.OptionalInt;
 
 /**
- * What a request for generated text says of itself. Immutable.
+ * Parameters of a request for generated text. Immutable.
  *
- * @param model the model that the caller names; the adapter's word for any if the system chooses
- * @param promptTokens the tokens of the prompt
- * @param maximumTokens the most tokens to be generated
- * @param prompt the parts of the prompt in their order; the last one is the request's or the
- *     session's own
- * @param lengthHint the caller's guess of the tokens that will be generated
+ * @param model the model that the caller requests, or the adapter's wildcard if the system chooses
+ * @param promptTokens the length of the prompt in tokens
+ * @param maximumTokens the maximum number of generated tokens
+ * @param prompt the parts of the prompt in order; the last part is specific to the request or the
+ *     session
+ * @param lengthHint the caller's estimate of the number of generated tokens
  */
 public record Generation(
     String model,
@@ -22,6 +22,6 @@
     int maximumTokens,
     List<PromptPart> prompt,
     OptionalInt lengthHint) {
-  /** Stands for a request that says nothing of itself. */
+  /** Placeholder for a request without generation parameters. */
   public static final Generation UNKNOWN = new Generation("", 0, 0, List.of(), OptionalInt.empty());
 }
--- a/org.oatlug/src/org/oatlug/gateway/PromptPart.java
+++ b/org.oatlug/src/org/oatlug/gateway/PromptPart.java
@@ -4,9 +4,9 @@
 package org.oatlug.gateway;
 
 /**
- * A part of a prompt that engines may have cached. Immutable.
+ * Part of a prompt that engines may have in their prefix cache. Immutable.
  *
- * @param hash the hash of the part
+ * @param hash the hash of the content of the part
  * @param tokens its length in tokens
  */
 public record PromptPart(long hash, int tokens) {}
--- a/org.oatlug/src/org/oatlug/gateway/RequestHead.java
+++ b/org.oatlug/src/org/oatlug/gateway/RequestHead.java
@@ -8,16 +8,16 @@
 import java.util.OptionalLong;
 
 /**
- * The head of a caller's request, read from its wire form. Immutable.
+ * Head of a caller's request, decoded from its wire form. Immutable.
  *
- * @param id the id of this attempt of the caller; passed on as it came
- * @param host the host that the caller names
+ * @param id the id of the caller's attempt, forwarded unchanged
+ * @param host the requested host
  * @param path the path without its query
- * @param key the caller's key, empty if it sent none
- * @param patience how long the caller waits, empty if it does not say
- * @param session the session that the caller names
- * @param resumeAfter the last event that the caller has, if it resumes a stream
- * @param generation what a request for generated text says of itself
+ * @param key the caller's key, empty if absent
+ * @param patience the caller's timeout, empty if not stated
+ * @param session the session id that the caller sent
+ * @param resumeAfter the number of the last event that the caller received, if it resumes a stream
+ * @param generation the parameters of a request for generated text
  */
 public record RequestHead(
     String id,
--- a/org.oatlug/src/org/oatlug/gateway/Route.java
+++ b/org.oatlug/src/org/oatlug/gateway/Route.java
@@ -7,23 +7,24 @@
 import java.util.List;
 
 /**
- * Where the requests of a host and path prefix go, and within which bounds. Immutable.
+ * Targets and limits of the requests to a host and path prefix. Immutable.
  *
  * @param name the name of the route
- * @param host the host that callers name
- * @param pathPrefix the beginning of the path; the longest one that fits counts
- * @param kind how often a request may run and how its answer arrives
- * @param timeoutMillis the longest that a request is held
- * @param goalMillis the time within which an answer, or its first event, is of full use
- * @param maximumAttempts the most upstreams that one request is sent to
- * @param priority the rank, 0 is the most urgent
- * @param openToAll whether a request needs no key
- * @param sticky whether a session stays with its upstream for the sake of its cached prompt
- * @param resumable whether a broken stream may go on at another upstream
- * @param pauseGoalMillis the longest pause between events of a stream that is of full use, 0 for
- *     none
- * @param models the models that may answer, the smallest first; empty if the caller names it
- * @param targets the services with their weights
+ * @param host the host of the requests
+ * @param pathPrefix the prefix of the path; the route with the longest matching prefix applies
+ * @param kind whether a request may be repeated and whether its response is a stream
+ * @param timeoutMillis the maximum time that the system spends on a request, in milliseconds
+ * @param goalMillis the time within which a response, or its first event, has its full value, in
+ *     milliseconds
+ * @param maximumAttempts the maximum number of upstreams to which one request is sent
+ * @param priority the priority, 0 is the most urgent
+ * @param openToAll whether requests need no key
+ * @param sticky whether a session stays with its upstream to reuse the cached prompt
+ * @param resumable whether an interrupted stream may be resumed at another upstream
+ * @param pauseGoalMillis the maximum pause between events of a stream of full value, in
+ *     milliseconds; 0 for no maximum
+ * @param models the models of the cascade, smallest first; empty if the caller names the model
+ * @param targets the target services with their weights
  */
 public record Route(
     String name,
@@ -42,10 +43,10 @@
     List<WeightedTarget> targets) {
 
   /**
-   * A service and its share of a route.
+   * Service with its share of the requests of a route.
    *
    * @param service the name of the service
-   * @param weight the share, relative to the other targets
+   * @param weight the weight, relative to the other targets
    */
   public record WeightedTarget(String service, int weight) {}
 
--- a/org.oatlug/src/org/oatlug/gateway/RouteKind.java
+++ b/org.oatlug/src/org/oatlug/gateway/RouteKind.java
@@ -5,15 +5,15 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** How often a request of a route may run, and how its answer arrives. Immutable. */
+/** Repeatability and response form of the requests of a route. Immutable. */
 public enum RouteKind {
-  /** May run more than once. */
+  /** A request may be executed more than once. */
   @JsonProperty("repeatable")
   REPEATABLE,
-  /** Runs at most once for each attempt of a caller. */
+  /** A request is executed at most once per attempt of the caller. */
   @JsonProperty("at-most-once")
   AT_MOST_ONCE,
-  /** Answers with a stream of events. */
+  /** The response is a stream of events. */
   @JsonProperty("stream")
   STREAM
 }
--- a/org.oatlug/src/org/oatlug/gateway/RoutingConfiguration.java
+++ b/org.oatlug/src/org/oatlug/gateway/RoutingConfiguration.java
@@ -7,12 +7,12 @@
 import java.util.Optional;
 
 /**
- * The whole routing configuration, as operators publish it. Immutable.
+ * Complete routing configuration, as published by operators. Immutable.
  *
- * @param version the operators' version; grows
+ * @param version the version number that operators assign; increases with each publication
  * @param routes the routes
  * @param services the services
- * @param limits the bounds for callers
+ * @param limits the limits of callers' requests
  * @param workspaces the workspaces with their keys; empty if requests need no key
  */
 public record RoutingConfiguration(
--- a/org.oatlug/src/org/oatlug/gateway/ServiceDefinition.java
+++ b/org.oatlug/src/org/oatlug/gateway/ServiceDefinition.java
@@ -8,47 +8,49 @@
 import java.util.Optional;
 
 /**
- * A service whose upstreams answer requests. Immutable.
+ * Definition of a service, whose upstreams serve requests. Immutable.
  *
  * @param name the name of the service
- * @param maximumConnections the most connections that one upstream accepts from all callers
- * @param engine what is known of its upstreams if they are model engines
- * @param coldStart what its upstreams bear shortly after a start, empty if all at once
+ * @param maximumConnections the maximum number of connections that one upstream accepts from all
+ *     clients
+ * @param engine the size of its upstreams if they are model engines
+ * @param coldStart the reduced capacity of its upstreams after a start, empty if they have their
+ *     full capacity at once
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record ServiceDefinition(
     String name, int maximumConnections, Optional<Engine> engine, Optional<ColdStart> coldStart) {
 
-  /** Takes what an earlier version of this software does not tell for unknown. */
+  /** Replaces a field that earlier versions of this software do not write by an empty value. */
   public ServiceDefinition {
     coldStart = coldStart == null ? Optional.empty() : coldStart;
   }
 
-  /** Returns a service whose upstreams bear all requests at once. */
+  /** Returns a service whose upstreams have their full capacity at once. */
   public static ServiceDefinition of(String name, int maximumConnections, Optional<Engine> engine) {
     return new ServiceDefinition(name, maximumConnections, engine, Optional.empty());
   }
 
   /**
-   * What an upstream bears while it is cold.
+   * Capacity of an upstream during its cold start.
    *
-   * @param millis how long it is cold after a start, in milliseconds
-   * @param requestsPerSecond how many requests it carries in a second, from all instances together
+   * @param millis the duration of the cold start, in milliseconds
+   * @param requestsPerSecond the requests per second that it sustains from all instances together
    */
   public record ColdStart(long millis, double requestsPerSecond) {}
 
   /**
-   * The size of the model engines of a service.
+   * Size of the model engines of a service.
    *
-   * @param slots how many requests run at once
-   * @param memoryTokens the tokens that fit into the memory of one engine
-   * @param tokensPerEvent the tokens that one event of a stream carries
-   * @param models the models that it serves
+   * @param slots the maximum number of concurrently running requests
+   * @param memoryTokens the capacity of the memory of one engine, in tokens
+   * @param tokensPerEvent the number of tokens per event of a stream
+   * @param models the models that the engine serves
    */
   public record Engine(int slots, long memoryTokens, int tokensPerEvent, List<Model> models) {}
 
   /**
-   * A model of an engine.
+   * Model that an engine serves.
    *
    * @param name the name of the model
    * @param cost the price of 1,000 generated tokens
--- a/org.oatlug/src/org/oatlug/gateway/ServiceRollout.java
+++ b/org.oatlug/src/org/oatlug/gateway/ServiceRollout.java
@@ -9,14 +9,14 @@
 import org.oatlug.platform.StoreRevision;
 
 /**
- * An order to move the traffic of a service to a version, and how far it came. Immutable.
+ * Order to move the traffic of a service to a version, with its progress. Immutable.
  *
  * @param service the service
- * @param targetVersion the version to move to
- * @param orderedAt the revision of the store at which the order was made; another order for the
- *     same version has another one
- * @param durationMillis the time that the move may take
- * @param progress what the system said of it, empty before it began
+ * @param targetVersion the version that receives the traffic
+ * @param orderedAt the revision of the store at which the order was written; it distinguishes
+ *     orders for the same version
+ * @param durationMillis the maximum duration of the move, in milliseconds
+ * @param progress the progress that the system recorded, empty before the start
  */
 public record ServiceRollout(
     String service,
@@ -25,7 +25,7 @@
     long durationMillis,
     Optional<Progress> progress) {
 
-  /** How far a roll-out came. */
+  /** State of a roll-out. */
   public enum State {
     @JsonProperty("running")
     RUNNING,
@@ -36,37 +36,38 @@
   }
 
   /**
-   * What the system says of a roll-out.
+   * Progress of a roll-out as recorded by the system.
    *
-   * @param state how far it came
-   * @param targetVersion the version that the state is about; another one is of an earlier order
-   * @param startedAtMillis when it began, in milliseconds since 1970
+   * @param state the state
+   * @param targetVersion the version to which the state refers; a different version belongs to an
+   *     earlier order
+   * @param startedAtMillis the time of the start, in milliseconds since 1970
    */
   public record Progress(State state, String targetVersion, long startedAtMillis) {}
 
-  /** Returns the state of the present order, empty if it was not begun yet. */
+  /** Returns the state of the current order, empty if it has not started yet. */
   public Optional<State> state() {
     return progress
-        .filter(known -> known.targetVersion().equals(targetVersion))
+        .filter(current -> current.targetVersion().equals(targetVersion))
         .map(Progress::state);
   }
 
-  /** Returns the time of day, in milliseconds since 1970, at which the present order was begun. */
+  /** Returns the start of the current order in milliseconds since 1970, empty before it. */
   public OptionalLong begunAtMillis() {
     return state()
         .flatMap(unused -> progress)
-        .map(known -> OptionalLong.of(known.startedAtMillis()))
+        .map(current -> OptionalLong.of(current.startedAtMillis()))
         .orElse(OptionalLong.empty());
   }
 
-  /** Returns whether the order is not carried out yet, and not taken back. */
+  /** Returns whether the order has neither succeeded nor been rolled back. */
   public boolean runs() {
-    return state().map(known -> known == State.RUNNING).orElse(true);
+    return state().map(current -> current == State.RUNNING).orElse(true);
   }
 
   /**
-   * Returns whether both are about one order. After a restore of the store an order has another
-   * revision, if it was written again; the same target tells that it is the same.
+   * Returns whether both are states of the same order. An order that was written again after a
+   * restore of the store has a new revision, so across epochs the target alone identifies it.
    */
   public boolean isSameOrderAs(ServiceRollout other) {
     boolean sameTarget = service.equals(other.service) && targetVersion.equals(other.targetVersion);
@@ -74,12 +75,12 @@
     return sameTarget && (restored || orderedAt.equals(other.orderedAt));
   }
 
-  /** Returns how far the order came, as a number that grows: not begun, running, ended. */
+  /** Returns the stage, which never decreases: 0 before the start, 1 running, 2 ended. */
   public int stage() {
-    return state().map(known -> known == State.RUNNING ? 1 : 2).orElse(0);
+    return state().map(current -> current == State.RUNNING ? 1 : 2).orElse(0);
   }
 
-  /** Returns the same order with other progress. */
+  /** Returns the same order with this progress. */
   public ServiceRollout withProgress(Progress newProgress) {
     return new ServiceRollout(
         service, targetVersion, orderedAt, durationMillis, Optional.of(newProgress));
--- a/org.oatlug/src/org/oatlug/gateway/UpstreamProtocol.java
+++ b/org.oatlug/src/org/oatlug/gateway/UpstreamProtocol.java
@@ -6,15 +6,15 @@
 import io.vertx.core.MultiMap;
 import io.vertx.core.http.HttpClientResponse;
 
-/** The wire form of requests to upstreams and of their answers. Implementations are stateless. */
+/** Encodes requests to upstreams and decodes their responses. Implementations are stateless. */
 public interface UpstreamProtocol {
 
-  /** Adds to the headers of a request what the system says with it. */
+  /** Adds the terms of an attempt to the headers of a request. */
   void addTerms(MultiMap headers, AttemptTerms terms);
 
-  /** Reads the head of an answer. */
+  /** Decodes the head of a response. */
   AnswerHead read(HttpClientResponse response);
 
-  /** Returns the headers of an answer that go on to the caller. */
+  /** Returns the headers of a response to forward to the caller. */
   MultiMap passedBack(HttpClientResponse response);
 }
--- a/org.oatlug/src/org/oatlug/gateway/UpstreamRecord.java
+++ b/org.oatlug/src/org/oatlug/gateway/UpstreamRecord.java
@@ -11,20 +11,20 @@
 import org.oatlug.config.Kinds;
 
 /**
- * One start of an upstream, as it registered itself. Immutable.
+ * Registration of an upstream, written by its process at each start. Immutable.
  *
  * @param service the service that it serves
- * @param host the IP number
+ * @param host the IP address
  * @param port the port
  * @param zone the availability zone
  * @param version the version of its software
- * @param slots how many requests run at once
- * @param leaving whether it is about to go
- * @param startedAtMillis when it started, in milliseconds since 1970, if it tells; with the name it
- *     says which process this is
- * @param coldMillis how much longer it is cold, in milliseconds from the writing of the entry;
- *     empty if it is warm
- * @param sequence how often it wrote its entry since its start
+ * @param slots the maximum number of concurrently running requests
+ * @param leaving whether it is about to shut down
+ * @param startedAtMillis the time of its start in milliseconds since 1970, if reported; together
+ *     with the name it identifies the process
+ * @param coldMillis the remaining duration of the cold start, in milliseconds from the write of the
+ *     entry; empty if it is warm
+ * @param sequence the number of writes of the entry since the start
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record UpstreamRecord(
@@ -39,13 +39,13 @@
     OptionalLong coldMillis,
     long sequence) {
 
-  /** Takes what an earlier version of this software does not tell for unknown. */
+  /** Replaces fields that earlier versions of this software do not write by empty values. */
   public UpstreamRecord {
     startedAtMillis = startedAtMillis == null ? OptionalLong.empty() : startedAtMillis;
     coldMillis = coldMillis == null ? OptionalLong.empty() : coldMillis;
   }
 
-  /** Returns the record of a warm upstream that does not tell when it started. */
+  /** Returns the record of a warm upstream whose start time is unknown. */
   public static UpstreamRecord of(
       String service,
       String host,
@@ -67,7 +67,7 @@
         0);
   }
 
-  /** Returns the record of the same upstream, started at another time. */
+  /** Returns the same record with this start time, in milliseconds since 1970. */
   public UpstreamRecord startedAt(long millis) {
     return new UpstreamRecord(
         service,
@@ -82,17 +82,17 @@
         sequence);
   }
 
-  /** Returns the record of the same upstream, written at another time. */
+  /** Returns the same record with this sequence number. */
   public UpstreamRecord withSequence(long number) {
     return new UpstreamRecord(
         service, host, port, zone, version, slots, leaving, startedAtMillis, coldMillis, number);
   }
 
   /**
-   * Returns the content that marks an entry as deleted and tells when it was written last, as the
-   * upstream counts that.
+   * Returns a tombstone that keeps the start time and the sequence number of the deleted entry, by
+   * which later writes of the upstream are ordered.
    *
-   * @param last the content of the entry before it was deleted
+   * @param last the content of the entry before its deletion
    */
   public static ObjectNode tombstoneOf(JsonNode last) {
     ObjectNode tombstone = Kinds.tombstone();
--- a/org.oatlug/src/org/oatlug/gateway/WorkspaceKeys.java
+++ b/org.oatlug/src/org/oatlug/gateway/WorkspaceKeys.java
@@ -7,11 +7,11 @@
 import java.util.Optional;
 
 /**
- * A workspace and the keys of its callers. Immutable.
+ * Keys of the callers of a workspace. Immutable.
  *
  * @param name the name of the workspace
- * @param keys the keys that are in force
- * @param priority the rank of its requests, which goes before that of the route
+ * @param keys the valid keys
+ * @param priority the priority of its requests, which overrides that of the route
  */
 public record WorkspaceKeys(String name, List<String> keys, Optional<Integer> priority) {
   @Override
--- a/org.oatlug/src/org/oatlug/gateway/package-info.java
+++ b/org.oatlug/src/org/oatlug/gateway/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Routed services: the second interface towards callers and upstreams.
+ * Types of the gateway that serves routed services.
  *
- * <p>A request is routed by host and path prefix, and an adapter says how requests, answers and
- * objects look on the wire of a deployment. The types here are the product's own view of them.
+ * <p>Requests are routed by host and path prefix. An adapter translates between the wire forms of
+ * requests, responses and stored objects in a deployment and the types of this package.
  */
 package org.oatlug.gateway;
