--- a/org.oatlug/src/org/oatlug/internal/cascade/ConfidentStage.java
+++ b/org.oatlug/src/org/oatlug/internal/cascade/ConfidentStage.java
@@ -7,20 +7,20 @@
 import org.oatlug.config.Cascade;
 
 /**
- * The cheapest stage whose share of met ratings is known to reach the target.
+ * Chooses the cheapest stage whose share of ratings that met the target is known to be sufficient.
  *
- * <p>A stage is used when the lower bound of its share (Wilson's) reaches the target. A cheaper
- * stage whose upper bound reaches it is tried by some of the requests: by more while little is
- * known of it, and by none while ratings stay away. Without knowledge the safe stage is taken.
- * Stateless, thread-safe.
+ * <p>A stage is used if the lower bound of the Wilson score interval of its share reaches the
+ * target. A cheaper stage than the safe one whose upper bound reaches the target is explored by a
+ * share of the requests: by a larger share while it has few ratings, and by none while ratings are
+ * outstanding. Without ratings the safe stage is used. Stateless, thread-safe.
  */
 public final class ConfidentStage implements StageChooser {
-  private static final double TRIED_WHILE_UNKNOWN = 0.2;
-  private static final double TRIED_AFTERWARDS = 0.05;
-  private static final double KNOWN_FROM = 100;
-  private static final int MOST_UNRATED = 30;
+  private static final double INITIAL_EXPLORATION_SHARE = 0.2;
+  private static final double EXPLORATION_SHARE = 0.05;
+  private static final double INITIAL_RATINGS = 100;
+  private static final int MAXIMUM_UNRATED = 30;
   private static final double DEVIATIONS_TO_USE = 0.8;
-  private static final double DEVIATIONS_TO_TRY = 2;
+  private static final double DEVIATIONS_TO_EXPLORE = 2;
 
   private ConfidentStage() {}
 
@@ -35,33 +35,34 @@
     for (int stage = 0; stage < cascade.stages().size(); stage++) {
       String model = cascade.stages().get(stage);
       RatingTable.Counts counts = ratings.counts(new RatingTable.Subject(workspace, task, model));
-      if (isGood(counts, cascade.qualityTarget())) {
+      if (reachesTarget(counts, cascade.qualityTarget())) {
         return stage;
       }
-      boolean cheaper = stage < cascade.safeStage();
-      if (cheaper && isWorthTrying(counts, cascade.qualityTarget(), random.nextDouble())) {
+      boolean isCheaper = stage < cascade.safeStage();
+      if (isCheaper && shouldExplore(counts, cascade.qualityTarget(), random.nextDouble())) {
         return stage;
       }
     }
     return cascade.safeStage();
   }
 
-  private static boolean isGood(RatingTable.Counts counts, double target) {
-    return counts.total() > 0 && bound(counts, -DEVIATIONS_TO_USE) >= target;
+  private static boolean reachesTarget(RatingTable.Counts counts, double target) {
+    return counts.total() > 0 && wilsonBound(counts, -DEVIATIONS_TO_USE) >= target;
   }
 
-  private static boolean isWorthTrying(RatingTable.Counts counts, double target, double drawn) {
-    double share = counts.total() < KNOWN_FROM ? TRIED_WHILE_UNKNOWN : TRIED_AFTERWARDS;
-    boolean possible = counts.total() == 0 || bound(counts, DEVIATIONS_TO_TRY) >= target;
-    return possible && counts.unrated() < MOST_UNRATED && drawn < share;
+  private static boolean shouldExplore(RatingTable.Counts counts, double target, double sample) {
+    double share = counts.total() < INITIAL_RATINGS ? INITIAL_EXPLORATION_SHARE : EXPLORATION_SHARE;
+    boolean mayReachTarget =
+        counts.total() == 0 || wilsonBound(counts, DEVIATIONS_TO_EXPLORE) >= target;
+    return mayReachTarget && counts.unrated() < MAXIMUM_UNRATED && sample < share;
   }
 
-  private static double bound(RatingTable.Counts counts, double deviations) {
+  private static double wilsonBound(RatingTable.Counts counts, double standardDeviations) {
     double total = counts.total();
     double share = counts.met() / total;
-    double square = deviations * deviations;
+    double square = standardDeviations * standardDeviations;
     double centre = share + square / (2 * total);
     double spread = Math.sqrt(share * (1 - share) / total + square / (4 * total * total));
-    return (centre + deviations * spread) / (1 + square / total);
+    return (centre + standardDeviations * spread) / (1 + square / total);
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/cascade/RatingTable.java
+++ b/org.oatlug/src/org/oatlug/internal/cascade/RatingTable.java
@@ -7,13 +7,13 @@
 import java.util.Map;
 
 /**
- * How many rated answers met the quality target, per workspace, task and model.
+ * Counts of the rated responses that met the quality target, per workspace, task and model.
  *
- * <p>Old ratings fade, so that a change of quality is seen. Answers that were handed to the rating
- * and not rated are counted, too. Owned by one event loop, not thread-safe.
+ * <p>Old ratings decay, so that a change of quality becomes visible. Responses that were submitted
+ * for rating and are not rated yet are counted, too. Owned by one event loop, not thread-safe.
  */
 public final class RatingTable {
-  private static final double FADE_ABOVE = 1000;
+  private static final double DECAY_THRESHOLD = 1000;
 
   private final Map<Subject, Counts> rows = new HashMap<>();
 
@@ -24,46 +24,46 @@
     return new RatingTable();
   }
 
-  /** Counts an answer that is handed to the rating. */
+  /** Counts a response that is submitted for rating. */
   public void handedOver(Subject subject) {
-    Counts old = counts(subject);
-    rows.put(subject, new Counts(old.met(), old.missed(), old.unrated() + 1));
+    Counts previous = counts(subject);
+    rows.put(subject, new Counts(previous.met(), previous.missed(), previous.unrated() + 1));
   }
 
-  /** Takes in the rating of an answer that was handed over. */
+  /** Records the rating of a submitted response. */
   public void rated(Subject subject, boolean met) {
-    Counts old = counts(subject);
-    double keep = old.total() >= FADE_ABOVE ? 1 - 1 / FADE_ABOVE : 1;
-    double passed = old.met() * keep + (met ? 1 : 0);
-    double missed = old.missed() * keep + (met ? 0 : 1);
-    rows.put(subject, new Counts(passed, missed, Math.max(0, old.unrated() - 1)));
+    Counts previous = counts(subject);
+    double decay = previous.total() >= DECAY_THRESHOLD ? 1 - 1 / DECAY_THRESHOLD : 1;
+    double newMet = previous.met() * decay + (met ? 1 : 0);
+    double newMissed = previous.missed() * decay + (met ? 0 : 1);
+    rows.put(subject, new Counts(newMet, newMissed, Math.max(0, previous.unrated() - 1)));
   }
 
-  /** Returns the counts, zeros if nothing was rated. */
+  /** Returns the counts of a subject, zeros if it has none. */
   public Counts counts(Subject subject) {
     return rows.getOrDefault(subject, Counts.NONE);
   }
 
   /**
-   * What is rated.
+   * Key of the rating counts.
    *
    * @param workspace the workspace
    * @param task the caller's task name
-   * @param model the model that answered
+   * @param model the model that generated the response
    */
   public record Subject(String workspace, String task, String model) {}
 
   /**
-   * Faded numbers of rated answers.
+   * Counts of ratings with decay.
    *
-   * @param met answers that met the target
-   * @param missed answers that did not
-   * @param unrated answers that were handed over and are not rated
+   * @param met the rated responses that met the target
+   * @param missed the rated responses that did not meet it
+   * @param unrated the submitted responses without a rating
    */
   public record Counts(double met, double missed, int unrated) {
     static final Counts NONE = new Counts(0, 0, 0);
 
-    /** Returns the number of ratings. */
+    /** Returns the decayed number of ratings. */
     public double total() {
       return met + missed;
     }
--- a/org.oatlug/src/org/oatlug/internal/cascade/package-info.java
+++ b/org.oatlug/src/org/oatlug/internal/cascade/package-info.java
@@ -1,2 +1,2 @@
-/** The choice of the cascade stage from rated answers. */
+/** Selection of the cascade stage based on rated responses. */
 package org.oatlug.internal.cascade;
--- a/org.oatlug/src/org/oatlug/internal/table/Freshness.java
+++ b/org.oatlug/src/org/oatlug/internal/table/Freshness.java
@@ -8,22 +8,22 @@
 import java.util.Optional;
 
 /**
- * How old the newest configuration of this instance can be.
+ * Tracks the maximum age of the configuration of this instance.
  *
- * <p>Ages travel between instances, never times, because no clock is shared. Invariant: the age
- * only falls when a platform contact is learned of that is younger than the known one. Owned by one
- * event loop, not thread-safe.
+ * <p>Instances exchange ages instead of times, because they share no clock. Invariant: the age
+ * decreases only when a more recent platform contact becomes known. Owned by one event loop, not
+ * thread-safe.
  */
 public final class Freshness {
   private final Duration bound;
-  private Instant contact = Instant.MIN;
+  private Instant lastContact = Instant.MIN;
   private boolean confirmed = true;
 
   private Freshness(Duration bound) {
     this.bound = bound;
   }
 
-  /** Returns a freshness without any contact yet. */
+  /** Returns a tracker without a platform contact. */
   public static Freshness withBound(Duration bound) {
     return new Freshness(bound);
   }
@@ -33,38 +33,40 @@
     return bound;
   }
 
-  /** Takes in a platform contact that was {@code age} ago. */
+  /** Records a platform contact of this age, made by this instance or by a peer. */
   public void learn(Duration age, Instant now) {
-    Instant then = now.minus(age);
-    if (then.isAfter(contact)) {
-      contact = then;
+    Instant contactTime = now.minus(age);
+    if (contactTime.isAfter(lastContact)) {
+      lastContact = contactTime;
     }
   }
 
-  /** Returns the age of the last known platform contact, empty if there was none. */
+  /** Returns the age of the last known platform contact, empty if there is none. */
   public Optional<Duration> age(Instant now) {
-    if (contact.equals(Instant.MIN)) {
+    if (lastContact.equals(Instant.MIN)) {
       return Optional.empty();
     }
-    return Optional.of(Duration.between(contact, now));
+    return Optional.of(Duration.between(lastContact, now));
   }
 
-  /** Returns whether the configuration is younger than the bound. */
+  /** Returns whether the age of the configuration is within the bound; false without a contact. */
   public boolean isFresh(Instant now) {
-    return age(now).map(known -> known.compareTo(bound) <= 0).orElse(false);
+    return age(now).map(currentAge -> currentAge.compareTo(bound) <= 0).orElse(false);
   }
 
-  /** Marks that the process stood still, so that its configuration has to be confirmed first. */
+  /** Marks the configuration as unconfirmed after the process was paused. */
   public void doubt() {
     confirmed = false;
   }
 
-  /** Marks that the configuration was confirmed, or that nobody can be reached to confirm it. */
+  /**
+   * Marks the configuration as confirmed, or as impossible to confirm because no peer is reachable.
+   */
   public void confirm() {
     confirmed = true;
   }
 
-  /** Returns whether requests may be dispatched. */
+  /** Returns whether the configuration is confirmed, so that requests may be dispatched. */
   public boolean isConfirmed() {
     return confirmed;
   }
--- a/org.oatlug/src/org/oatlug/internal/table/Tables.java
+++ b/org.oatlug/src/org/oatlug/internal/table/Tables.java
@@ -9,15 +9,15 @@
 import org.oatlug.internal.config.Catalogue;
 
 /**
- * The state that one instance routes by.
+ * State of one instance on which its routing decisions are based.
  *
- * <p>Invariant: all parts are read and changed by one event loop only. Not thread-safe.
+ * <p>Invariant: all parts are read and modified by one event loop only. Not thread-safe.
  *
  * @param catalogue the published objects
- * @param upstreams what is known of each upstream
- * @param freshness how old the catalogue can be
- * @param ratings what is known of each cascade stage
- * @param haltedHere candidates that this instance halted by itself
+ * @param upstreams the observed state of each upstream
+ * @param freshness the maximum age of the catalogue
+ * @param ratings the rating counts of each cascade stage
+ * @param haltedHere the candidates whose roll-out this instance halted on its own evidence
  */
 public record Tables(
     Catalogue catalogue,
--- a/org.oatlug/src/org/oatlug/internal/table/UpstreamRow.java
+++ b/org.oatlug/src/org/oatlug/internal/table/UpstreamRow.java
@@ -11,43 +11,43 @@
 import org.oatlug.internal.util.Hashes;
 
 /**
- * What one instance knows of one upstream, which is one start of a process.
+ * State of one upstream process as observed by one instance.
  *
- * <p>Invariant: {@code inFlight} equals the attempts that were reserved and not yet released. A
- * reservation counts into {@code dispatchedSinceReport} until the next load report. Owned by one
- * event loop, not thread-safe.
+ * <p>Invariant: {@code inFlight} equals the number of attempts that are reserved and not yet
+ * released. A reservation counts in {@code dispatchedSinceReport} until the next load report. Owned
+ * by one event loop, not thread-safe.
  */
 public final class UpstreamRow {
-  private static final int REMEMBERED_PREFIXES = 256;
-  private static final int EJECT_AFTER_FAILURES = 3;
-  private static final Duration EJECT_FOR = Duration.ofSeconds(5);
+  private static final int MAXIMUM_PREFIXES = 256;
+  private static final int FAILURES_UNTIL_EJECTION = 3;
+  private static final Duration EJECTION_TIME = Duration.ofSeconds(5);
 
-  /** The weight of one answer in the share of failures: the last ten or so count. */
+  /** Weight of one response in the moving average of failures, which covers about ten responses. */
   private static final double OUTCOME_WEIGHT = 0.15;
 
   /**
-   * After this time without an answer a share of failures counts for about a third, in
-   * milliseconds: seconds, so that the upstream is soon tried again.
+   * Time constant of the decay of the failure share without responses, in milliseconds. A few
+   * seconds ensure that the upstream is soon retried.
    */
-  private static final double FAILURES_FADE_MILLIS = 3000;
+  private static final double FAILURE_DECAY_MILLIS = 3000;
 
   private final String name;
   private final long nameHash;
   private OptionalLong startedAtMillis = OptionalLong.empty();
   private String process;
   private Instant coldUntil = Instant.EPOCH;
-  private Instant restUntil = Instant.EPOCH;
-  private final Map<Long, Boolean> prefixes = BoundedMap.ofMost(REMEMBERED_PREFIXES);
+  private Instant backOffUntil = Instant.EPOCH;
+  private final Map<Long, Boolean> prefixes = BoundedMap.ofMost(MAXIMUM_PREFIXES);
   private int inFlight;
   private int reportedRunning;
   private int reportedWaiting;
   private int dispatchedSinceReport;
   private int finishedSinceReport;
   private boolean leaving;
-  private int failuresInRow;
+  private int consecutiveFailures;
   private Instant ejectedUntil = Instant.EPOCH;
   private double failureShare;
-  private Instant failureShareAt = Instant.EPOCH;
+  private Instant failureShareUpdatedAt = Instant.EPOCH;
 
   UpstreamRow(String name) {
     this.name = name;
@@ -55,48 +55,48 @@
     this.process = name;
   }
 
-  /** Returns whether the row is known to be of another start than this. */
-  boolean isOfAnotherStart(long millis) {
+  /** Returns whether the row is known to belong to a process with a different start time. */
+  boolean hasDifferentStart(long millis) {
     return startedAtMillis.isPresent() && startedAtMillis.getAsLong() != millis;
   }
 
-  /** Takes in when the process started. */
+  /** Sets the start time of the process, in milliseconds since 1970. */
   void startedAt(long millis) {
     startedAtMillis = OptionalLong.of(millis);
     process = name + "@" + millis;
   }
 
-  /** Returns the name with the start, if that is known: no other process has the same. */
+  /** Returns the unique id of the process: the name, with the start time if it is known. */
   public String process() {
     return process;
   }
 
-  /** Takes in that the upstream is cold up to a moment; a later one counts. */
-  public void coldUntil(Instant moment) {
-    coldUntil = moment.isAfter(coldUntil) ? moment : coldUntil;
+  /** Extends the cold start until this time; an earlier time than the present one is ignored. */
+  public void coldUntil(Instant end) {
+    coldUntil = end.isAfter(coldUntil) ? end : coldUntil;
   }
 
-  /** Takes in that the upstream wants nothing up to a moment; a later one counts. */
-  public void restUntil(Instant moment) {
-    restUntil = moment.isAfter(restUntil) ? moment : restUntil;
+  /** Extends the back-off until this time; an earlier time than the present one is ignored. */
+  public void restUntil(Instant end) {
+    backOffUntil = end.isAfter(backOffUntil) ? end : backOffUntil;
   }
 
-  /** Returns for how much longer the upstream wants nothing, zero if it takes requests. */
+  /** Returns the remaining back-off, zero if the upstream accepts requests. */
   public Duration restLeft(Instant now) {
-    return now.isBefore(restUntil) ? Duration.between(now, restUntil) : Duration.ZERO;
+    return now.isBefore(backOffUntil) ? Duration.between(now, backOffUntil) : Duration.ZERO;
   }
 
-  /** Returns whether the upstream wants nothing now. */
+  /** Returns whether the upstream requested a back-off that has not ended. */
   public boolean isResting(Instant now) {
-    return now.isBefore(restUntil);
+    return now.isBefore(backOffUntil);
   }
 
-  /** Returns whether the upstream bears few requests now, because it is cold. */
+  /** Returns whether the upstream has a reduced capacity because of its cold start. */
   public boolean isCold(Instant now) {
     return now.isBefore(coldUntil);
   }
 
-  /** Returns the rank of this upstream for a prompt prefix, the same at every instance. */
+  /** Returns the rank of this upstream for a prompt prefix; it is the same at all instances. */
   public long rankFor(long prefix) {
     return Hashes.combine(prefix, nameHash);
   }
@@ -106,13 +106,13 @@
     return name;
   }
 
-  /** Counts an attempt that is about to be dispatched. */
+  /** Reserves an attempt that is about to be dispatched. */
   public void reserve() {
     inFlight++;
     dispatchedSinceReport++;
   }
 
-  /** Ends a reservation. */
+  /** Releases a reservation. */
   public void release() {
     inFlight--;
     finishedSinceReport++;
@@ -123,91 +123,95 @@
     return reportedRunning + reportedWaiting;
   }
 
-  /** Takes in a load report. */
-  void report(int running, int waiting, boolean nowLeaving) {
+  /** Applies a load report. */
+  void report(int running, int waiting, boolean isLeaving) {
     reportedRunning = running;
     reportedWaiting = waiting;
     dispatchedSinceReport = 0;
     finishedSinceReport = 0;
-    if (nowLeaving) {
+    if (isLeaving) {
       leaving = true;
     }
   }
 
-  /** Takes in an answer that is no failure. */
+  /** Records a successful response. */
   public void succeeded(Instant now) {
-    failuresInRow = 0;
-    noteOutcome(0, now);
+    consecutiveFailures = 0;
+    updateFailureShare(0, now);
   }
 
-  private void noteOutcome(double failure, Instant now) {
-    double before = failureShare(now);
-    failureShare = before + OUTCOME_WEIGHT * (failure - before);
-    failureShareAt = now;
+  private void updateFailureShare(double failure, Instant now) {
+    double previous = failureShare(now);
+    failureShare = previous + OUTCOME_WEIGHT * (failure - previous);
+    failureShareUpdatedAt = now;
   }
 
-  /** Takes in that the upstream refused a request for its load: no failure, but of no use. */
+  /**
+   * Records a refusal for overload; it raises the failure share, but does not eject the upstream.
+   */
   public void refused(Instant now) {
-    noteOutcome(1, now);
+    updateFailureShare(1, now);
   }
 
   /**
-   * Returns the share of failures and refusals among the last answers; it fades while nothing is
-   * known.
+   * Returns the share of failures and refusals among the last responses, 0 to 1; it decays while
+   * there are no responses.
    */
   public double failureShare(Instant now) {
-    double age = Duration.between(failureShareAt, now).toMillis();
-    return failureShare * Math.exp(-Math.max(0, age) / FAILURES_FADE_MILLIS);
+    double age = Duration.between(failureShareUpdatedAt, now).toMillis();
+    return failureShare * Math.exp(-Math.max(0, age) / FAILURE_DECAY_MILLIS);
   }
 
-  /** Takes in a failure; several in a row keep the upstream out for a while. */
+  /** Records a failure; several consecutive failures eject the upstream temporarily. */
   public void failed(Instant now) {
-    failuresInRow++;
-    noteOutcome(1, now);
-    if (failuresInRow >= EJECT_AFTER_FAILURES) {
-      ejectedUntil = now.plus(EJECT_FOR);
+    consecutiveFailures++;
+    updateFailureShare(1, now);
+    if (consecutiveFailures >= FAILURES_UNTIL_EJECTION) {
+      ejectedUntil = now.plus(EJECTION_TIME);
     }
   }
 
-  /** Takes in that the process has ended; its entry may stand for a while. */
+  /**
+   * Ejects the upstream because its process has ended; its store entry may remain for some time.
+   */
   public void ended(Instant now) {
-    ejectedUntil = now.plus(EJECT_FOR);
+    ejectedUntil = now.plus(EJECTION_TIME);
   }
 
-  /** Marks that the upstream said it is leaving; it stays so under this name. */
+  /** Marks the upstream as draining for the lifetime of this row. */
   public void markLeaving() {
     leaving = true;
   }
 
-  /** Remembers that the upstream has seen the prompt prefix. */
+  /** Records that the upstream received the prompt prefix. */
   public void rememberPrefix(long prefix) {
     prefixes.put(prefix, Boolean.TRUE);
   }
 
-  /** Returns whether the upstream has probably cached the prompt prefix. */
+  /** Returns whether the upstream probably has the prompt prefix cached. */
   public boolean hasPrefix(long prefix) {
     return prefixes.containsKey(prefix);
   }
 
-  /** Returns whether the upstream said it is leaving. */
+  /** Returns whether the upstream announced that it is draining. */
   public boolean leaving() {
     return leaving;
   }
 
-  /** Returns whether the upstream is kept out after failures. */
+  /** Returns whether the upstream is ejected. */
   public boolean ejected(Instant now) {
     return now.isBefore(ejectedUntil);
   }
 
-  /** Returns the attempts of this instance that are open. */
+  /** Returns the number of open attempts of this instance. */
   public int inFlight() {
     return inFlight;
   }
 
-  /** Returns the requests at the upstream as known: reported, plus own changes since. */
+  /** Returns the reported number of requests, adjusted by this instance's changes since then. */
   public int expectedLoad() {
-    int reported = reportedRunning + reportedWaiting;
-    int expected = reported + dispatchedSinceReport - finishedSinceReport;
+    int lastReport = reportedRunning + reportedWaiting;
+    int expected = lastReport + dispatchedSinceReport - finishedSinceReport;
     return Math.max(inFlight, expected);
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/table/UpstreamTable.java
+++ b/org.oatlug/src/org/oatlug/internal/table/UpstreamTable.java
@@ -8,15 +8,15 @@
 import java.util.TreeMap;
 
 /**
- * The rows of all upstreams that were met, each by its name and, where that is told, its start.
- * Owned by one event loop, not thread-safe.
+ * Table of all upstreams that this instance has seen, by name. A row belongs to one process of the
+ * upstream, if start times are reported. Owned by one event loop, not thread-safe.
  */
 public final class UpstreamTable {
   private static final double SMOOTHING = 0.1;
   private static final double OWN_WEIGHT = 0.5;
 
   private final Map<String, UpstreamRow> rows = new TreeMap<>();
-  private double loadPerOwn = 1;
+  private double loadPerOwnRequest = 1;
 
   private UpstreamTable() {}
 
@@ -25,55 +25,57 @@
     return new UpstreamTable();
   }
 
-  /** Returns the row of the upstream, made on first use. */
+  /** Returns the row of the upstream, created on first use. */
   public UpstreamRow row(String name) {
     return rows.computeIfAbsent(name, UpstreamRow::new);
   }
 
   /**
-   * Takes in when the process of this name started, and drops the row of an earlier one. The first
-   * start that is told belongs to the row there is.
+   * Sets the start time of the upstream process, and replaces the row if it belongs to a different
+   * process. A row without a start time is assumed to belong to this process.
    *
-   * @return whether a row was dropped
+   * @param startedAtMillis the start time, in milliseconds since 1970
+   * @return whether the row was replaced
    */
   public boolean started(String name, long startedAtMillis) {
-    boolean other = row(name).isOfAnotherStart(startedAtMillis);
-    if (other) {
+    boolean replaced = row(name).hasDifferentStart(startedAtMillis);
+    if (replaced) {
       rows.put(name, new UpstreamRow(name));
     }
     row(name).startedAt(startedAtMillis);
-    return other;
+    return replaced;
   }
 
-  /** Takes in a load report. */
+  /** Applies a load report. */
   public void report(String name, int running, int waiting, boolean leaving) {
     report(row(name), running, waiting, leaving);
   }
 
-  /** Takes in a load report for the start that the row is of, which may have ended. */
-  public void report(UpstreamRow of, int running, int waiting, boolean leaving) {
-    of.report(running, waiting, leaving);
-    int reported = 0;
-    int own = 0;
+  /** Applies a load report for the process of the row, which may have ended. */
+  public void report(UpstreamRow reporter, int running, int waiting, boolean leaving) {
+    reporter.report(running, waiting, leaving);
+    int totalReportedLoad = 0;
+    int totalOwnLoad = 0;
     for (UpstreamRow row : rows.values()) {
-      reported += row.reportedLoad();
-      own += row.inFlight();
+      totalReportedLoad += row.reportedLoad();
+      totalOwnLoad += row.inFlight();
     }
-    if (own > 0) {
-      double ratio = Math.max(1, (double) reported / own);
-      loadPerOwn += SMOOTHING * (ratio - loadPerOwn);
+    if (totalOwnLoad > 0) {
+      double ratio = Math.max(1, (double) totalReportedLoad / totalOwnLoad);
+      loadPerOwnRequest += SMOOTHING * (ratio - loadPerOwnRequest);
     }
   }
 
   /**
    * Returns the estimated number of requests at the upstream.
    *
-   * <p>The mean of two estimates: the last report with this instance's changes since, which is old,
-   * and this instance's own open requests scaled up to all instances, which is coarse. Own requests
-   * alone keep instances from choosing alike; reports alone make them.
+   * <p>It is the mean of two estimates: the last report adjusted by this instance's changes since
+   * then, which is stale, and this instance's open requests scaled up to all instances, which is
+   * imprecise. With reports alone all instances would choose the same upstream; the own requests
+   * make their choices differ.
    */
   public double estimatedLoad(UpstreamRow row) {
-    double scaled = row.inFlight() * loadPerOwn;
+    double scaled = row.inFlight() * loadPerOwnRequest;
     return OWN_WEIGHT * scaled + (1 - OWN_WEIGHT) * row.expectedLoad();
   }
 
--- a/org.oatlug/src/org/oatlug/internal/table/package-info.java
+++ b/org.oatlug/src/org/oatlug/internal/table/package-info.java
@@ -1,2 +1,2 @@
-/** The tables that hold the state of one instance. */
+/** Tables of the state of one instance on which routing decisions are based. */
 package org.oatlug.internal.table;
