--- a/org.oatlug/src/org/oatlug/gateway/GatewayKinds.java
+++ b/org.oatlug/src/org/oatlug/gateway/GatewayKinds.java
@@ -8,7 +8,7 @@
   /** The routing configuration, a single object. */
   public static final String ROUTING = "routing";
 
-  /** The registered upstreams, one object for each, written by the upstream at each start. */
+  /** The upstreams, one object for each, under a name that the upstream chooses at each start. */
   public static final String UPSTREAM = "upstream";
 
   /** The roll-outs, one object per service. */
--- a/org.oatlug/src/org/oatlug/internal/cascade/ConfidentStage.java
+++ b/org.oatlug/src/org/oatlug/internal/cascade/ConfidentStage.java
@@ -11,8 +11,8 @@
  *
  * <p>A stage is used if the lower bound of the Wilson score interval of its share reaches the
  * target. A cheaper stage than the safe one whose upper bound reaches the target is explored by a
- * share of the requests: by a larger share while it has few ratings, and by none while ratings are
- * outstanding. Without ratings the safe stage is used. Stateless, thread-safe.
+ * share of the requests: by a larger share while it has few ratings, and by none while too many
+ * ratings are outstanding. Without ratings the safe stage is used. Stateless, thread-safe.
  */
 public final class ConfidentStage implements StageChooser {
   private static final double INITIAL_EXPLORATION_SHARE = 0.2;
