--- a/org.oatlug/src/org/oatlug/internal/config/Catalogue.java
+++ b/org.oatlug/src/org/oatlug/internal/config/Catalogue.java
@@ -29,10 +29,10 @@
 import org.oatlug.platform.StoredObject;
 
 /**
- * The typed view of the published objects, with the indexes of the request path.
+ * Typed view of the published objects, with the indexes that the request path uses.
  *
- * <p>Invariant: it shows the newest version of each object. An object that cannot be read is
- * absent, so references to it deny. Owned by one event loop, not thread-safe.
+ * <p>Invariant: holds the newest version of each object. An object that cannot be parsed is absent,
+ * so requests that refer to it are denied. Owned by one event loop, not thread-safe.
  */
 public final class Catalogue implements ObjectSink {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -51,28 +51,28 @@
     return new Catalogue();
   }
 
-  /** Takes an object in and returns whether it was newer than what was known. */
+  /** Merges an object and returns whether it was newer than the known one. */
   public boolean merge(StoredObject object) {
     return !mergeAll(List.of(object)).isEmpty();
   }
 
   @Override
   public List<StoredObject> mergeAll(List<StoredObject> objects, Origin origin) {
-    List<StoredObject> fresh = new ArrayList<>();
+    List<StoredObject> updated = new ArrayList<>();
     Set<String> kinds = new TreeSet<>();
     for (StoredObject object : objects) {
-      join.merge(object).ifPresent(fresh::add);
+      join.merge(object).ifPresent(updated::add);
     }
-    for (StoredObject object : fresh) {
+    for (StoredObject object : updated) {
       kinds.add(object.key().kind());
-      take(object);
+      replaceContent(object);
     }
     kinds.forEach(this::index);
-    return fresh;
+    return updated;
   }
 
-  private void take(StoredObject object) {
-    Optional<Object> content = read(object);
+  private void replaceContent(StoredObject object) {
+    Optional<Object> content = parse(object);
     if (content.isPresent()) {
       contents.put(object.key(), content.get());
     } else {
@@ -85,12 +85,12 @@
     return join;
   }
 
-  /** Returns whether anything was published yet. */
+  /** Returns whether no valid object has been published yet. */
   public boolean isEmpty() {
     return contents.isEmpty();
   }
 
-  /** Returns the workspace that has the key with this hash. */
+  /** Returns the name of the workspace that owns the API key with this hash. */
   public Optional<String> workspaceByKeyHash(String keyHash) {
     return Optional.ofNullable(workspaceByKeyHash.get(keyHash));
   }
@@ -115,7 +115,7 @@
     return content(Kinds.UPSTREAM, name, Upstream.class);
   }
 
-  /** Returns the service application of this name. */
+  /** Returns the service of this name. */
   public Optional<Service> service(String name) {
     return content(Kinds.SERVICE, name, Service.class);
   }
@@ -135,7 +135,7 @@
     return content(Kinds.ROLLOUT, name, Rollout.class);
   }
 
-  /** Returns the roll-out of the model that runs or is halted. */
+  /** Returns the roll-out of the model that is running or halted. */
   public Optional<Rollout> rollout(String model) {
     return names(Kinds.ROLLOUT).stream()
         .flatMap(name -> content(Kinds.ROLLOUT, name, Rollout.class).stream())
@@ -145,10 +145,10 @@
   }
 
   /**
-   * Returns the current version of the model.
+   * Returns the name of the current version of the model.
    *
-   * <p>Between the two writes of a promotion two versions are current; the one published last
-   * counts.
+   * <p>Between the two writes of a promotion two versions are current; the one published last is
+   * returned.
    */
   public Optional<String> currentVersion(String model) {
     return versionsByModel.getOrDefault(model, List.of()).stream()
@@ -156,9 +156,9 @@
         .max(Comparator.comparing(name -> revisionOf(Kinds.VERSION, name)));
   }
 
-  /** Returns the names of the upstreams that serve a version or an application. */
-  public List<String> upstreamsServing(String served) {
-    return upstreamsByService.getOrDefault(served, List.of());
+  /** Returns the names of the upstreams that serve a version or a service. */
+  public List<String> upstreamsServing(String versionOrService) {
+    return upstreamsByService.getOrDefault(versionOrService, List.of());
   }
 
   /** Returns the names of all objects of the kind. */
@@ -172,7 +172,7 @@
     return names;
   }
 
-  /** Returns the store's revision of the object, {@link StoreRevision#NONE} if it is not known. */
+  /** Returns the store revision of the object, {@link StoreRevision#NONE} if it is unknown. */
   public StoreRevision revisionOf(String kind, String name) {
     ObjectKey key = ObjectKey.valueOf(kind, name);
     return join.get(key).map(StoredObject::revision).orElse(StoreRevision.NONE);
@@ -182,11 +182,11 @@
     return Optional.ofNullable(contents.get(ObjectKey.valueOf(kind, name))).map(type::cast);
   }
 
-  private static Optional<Object> read(StoredObject object) {
+  private static Optional<Object> parse(StoredObject object) {
     try {
       return Kinds.read(object.key(), object.value());
     } catch (ConfigurationInvalidException e) {
-      logger.atWarning().log("object %s is passed over: %s", object.key(), e.getMessage());
+      logger.atWarning().log("skipped invalid object %s: %s", object.key(), e.getMessage());
       return Optional.empty();
     }
   }
@@ -198,7 +198,7 @@
       case Kinds.VERSION -> indexVersions();
       case Kinds.POLICY -> indexPolicies();
       default -> {
-        // The other kinds are found by name.
+        // The other kinds are looked up by name only.
       }
     }
   }
@@ -215,8 +215,8 @@
   private void indexUpstreams() {
     upstreamsByService.clear();
     for (String name : names(Kinds.UPSTREAM)) {
-      for (String served : upstream(name).orElseThrow().serves()) {
-        upstreamsByService.computeIfAbsent(served, unused -> new ArrayList<>()).add(name);
+      for (String versionOrService : upstream(name).orElseThrow().serves()) {
+        upstreamsByService.computeIfAbsent(versionOrService, unused -> new ArrayList<>()).add(name);
       }
     }
   }
@@ -236,7 +236,7 @@
       try {
         programs.put(name, PolicyProgram.compile(name, text));
       } catch (PolicyInvalidException e) {
-        logger.atWarning().log("policy %s is passed over: %s", name, e.getMessage());
+        logger.atWarning().log("skipped invalid policy %s: %s", name, e.getMessage());
       }
     }
   }
--- a/org.oatlug/src/org/oatlug/internal/config/ConfigurationSystem.java
+++ b/org.oatlug/src/org/oatlug/internal/config/ConfigurationSystem.java
@@ -25,32 +25,33 @@
 import org.oatlug.platform.StoredObject;
 
 /**
- * Brings published objects into force.
+ * Applies published objects on this instance and replicates them between instances.
  *
  * <p>The readers of an availability zone watch the platform and push changes to all others, see
- * {@link ObjectSpread}; every instance exchanges digests with another one each interval, which
- * repairs any loss. Objects are joined, see {@link ObjectJoin}, so nothing that arrives late or
- * twice has an effect. Owned by one event loop, not thread-safe.
+ * {@link ObjectBroadcaster}. Every instance periodically compares digests with a peer, which
+ * repairs lost pushes. Objects are merged, see {@link ObjectJoin}, so late or duplicate messages
+ * have no effect. Owned by one event loop, not thread-safe.
  */
 public final class ConfigurationSystem implements TickSystem {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final Duration EXCHANGE_INTERVAL = Duration.ofMillis(1000);
-  private static final Duration INSTANCES_INTERVAL = Duration.ofSeconds(3);
-  private static final Duration PATIENCE = Duration.ofMillis(800);
+  private static final Duration INSTANCE_LIST_INTERVAL = Duration.ofSeconds(3);
+  private static final Duration EXCHANGE_TIMEOUT = Duration.ofMillis(800);
 
   /**
-   * How long others may take to say whether they are in sync: a process that has just started is
-   * slow, and so are its first connections. Where none listens, the connection is refused at once.
+   * Timeout of the question whether a peer is in sync. It is longer than that of an exchange, as a
+   * process that has just started is slow, and so are its first connections. Where no process
+   * listens, the connection is refused at once.
    */
-  private static final Duration SYNC_PATIENCE = Duration.ofMillis(1500);
+  private static final Duration SYNC_TIMEOUT = Duration.ofMillis(1500);
 
-  /** At most a line each so many seconds tells of comparisons that failed. */
-  private static final int FAILED_DIGEST_LINES_SECONDS = 1;
+  /** Minimum time between log lines about failed digest comparisons. */
+  private static final int FAILED_DIGEST_LOG_INTERVAL_SECONDS = 1;
 
-  /** At most a line each so many seconds says that an object of the store was ignored. */
-  private static final int IGNORED_LINES_SECONDS = 1;
+  /** Minimum time between log lines about ignored objects of the store. */
+  private static final int IGNORED_OBJECT_LOG_INTERVAL_SECONDS = 1;
 
-  private static final int WATCHES_PER_BOUND = 3;
+  private static final int WATCHES_PER_FRESHNESS_BOUND = 3;
 
   private final ObjectSink objects;
   private final Freshness freshness;
@@ -60,14 +61,14 @@
   private final InstantSource clock;
   private final RandomGenerator random;
   private final Meters meters;
-  private final ObjectSpread spread;
+  private final ObjectBroadcaster broadcaster;
   private final StartupSync startupSync;
   private final ReaderRole role;
-  private final OutageProbe probe = OutageProbe.create();
+  private final OutageProbe outageProbe = OutageProbe.create();
   private final List<StoreWatch> watches;
-  private boolean learnedAll;
+  private boolean syncedAllFromPeer;
   private Instant nextExchange = Instant.EPOCH;
-  private Instant nextInstances = Instant.EPOCH;
+  private Instant nextInstanceList = Instant.EPOCH;
 
   private ConfigurationSystem(
       ObjectSink objects,
@@ -84,24 +85,25 @@
     this.clock = support.clock();
     this.random = support.random();
     this.meters = support.meters();
-    this.spread = ObjectSpread.create(membership, network, random, meters, this::age);
+    this.broadcaster =
+        ObjectBroadcaster.create(membership, network, random, meters, this::contactAgeMillis);
     this.startupSync = StartupSync.create(membership, random, new SyncPeers());
-    this.role = ReaderRole.create(membership, network, clock, meters, this::checkPlatform);
-    this.watches = support.watchGroups().stream().map(this::watchOf).toList();
+    this.role = ReaderRole.create(membership, network, clock, meters, this::probePlatform);
+    this.watches = support.watchGroups().stream().map(this::createWatch).toList();
   }
 
   /**
-   * What the system needs besides tables and neighbours.
+   * Dependencies of the system besides tables, platform and peers.
    *
    * @param clock the clock
-   * @param random the source of chance
+   * @param random the source of randomness
    * @param meters the counters
-   * @param watchGroups the kinds that are read; those of one group share a watch
+   * @param watchGroups the kinds to read; the kinds of one group share a watch
    */
   public record Support(
       InstantSource clock, RandomGenerator random, Meters meters, List<List<String>> watchGroups) {}
 
-  /** Returns a system that has not read anything yet. */
+  /** Returns a system that has not read any object yet. */
   public static ConfigurationSystem create(
       ObjectSink objects,
       Freshness freshness,
@@ -122,68 +124,70 @@
     exchange(now);
   }
 
-  /** Answers a digest, buckets, objects or the wish of a reader to be replaced. */
+  /** Handles a digest, bucket digests, objects or the request to read in place of a reader. */
   public Uni<PeerMessage> handle(Member from, PeerMessage message) {
     if (message instanceof PeerMessage.Digest digest) {
       if (digest.digest() == objects.join().digest()) {
-        learnAge(digest.contactAge());
+        recordContactAge(digest.contactAge());
       }
       return Uni.createFrom().item(ownDigest());
     }
     if (message instanceof PeerMessage.BucketDigests buckets) {
-      PeerMessage answer = new PeerMessage.Objects(differing(buckets.digests()), age(), false);
+      PeerMessage answer =
+          new PeerMessage.Objects(
+              objectsInDifferingBuckets(buckets.digests()), contactAgeMillis(), false);
       return Uni.createFrom().item(answer);
     }
     if (message instanceof PeerMessage.ReadInstead) {
-      return role.readInstead();
+      return role.handleReadInstead();
     }
     PeerMessage.Objects objects = (PeerMessage.Objects) message;
-    noteEpochs(objects.objects());
-    List<StoredObject> fresh =
+    recordEpochs(objects.objects());
+    List<StoredObject> updated =
         this.objects.mergeAll(objects.objects(), Origin.pushedBy(from.name()));
-    if (objects.forward() && !fresh.isEmpty()) {
-      spread.pushed(from, fresh);
+    if (objects.forward() && !updated.isEmpty()) {
+      broadcaster.relay(from, updated);
     }
     return Uni.createFrom().item(new PeerMessage.Done());
   }
 
   /**
-   * Returns whether all kinds have been read: from the platform, or from an instance that had read
-   * them. Before, an object that is not known may stand there all the same.
+   * Returns whether all kinds have been read, from the platform or from an instance that had read
+   * them. Until then, an unknown object may nevertheless exist in the store.
    */
   public boolean hasReadAll() {
-    return learnedAll || watches.stream().allMatch(StoreWatch::hasRead);
+    return syncedAllFromPeer || watches.stream().allMatch(StoreWatch::hasRead);
   }
 
   /**
-   * Returns whether this instance knows what the instances know that ran before it, or found none:
-   * what it has read may be an older copy of the store.
+   * Returns whether this instance has all objects of the instances that ran before it, or found no
+   * such instance. Until then, its objects may come from an older copy of the store.
    */
   public boolean isInSync() {
     return startupSync.isInSync();
   }
 
-  /** Confirms the configuration with the platform or a peer; goes on when neither answers. */
+  /** Refreshes the objects from the platform or a peer; succeeds even if neither responds. */
   public Uni<Void> confirm() {
     Uni<Void> withPeer = exchangeWithAny();
     return listOnce().onFailure().recoverWithUni(unused -> withPeer).onFailure().recoverWithNull();
   }
 
-  /** Reads something from the platform, unless a watch that works is there already. */
-  private Uni<Void> checkPlatform() {
+  /** Reads one list from the platform, unless a healthy watch exists already. */
+  private Uni<Void> probePlatform() {
     StoreWatch first = watches.get(0);
     if (first.isHealthy()) {
       return Uni.createFrom().voidItem();
     }
-    watches.forEach(StoreWatch::believeMissing);
-    return first.listOnce().invoke(() -> watches.forEach(StoreWatch::believeMissing));
+    watches.forEach(StoreWatch::tolerateMissing);
+    return first.listOnce().invoke(() -> watches.forEach(StoreWatch::tolerateMissing));
   }
 
   private void readInstances(Instant now) {
-    if (now.isBefore(nextInstances)) {
+    if (now.isBefore(nextInstanceList)) {
       return;
     }
-    nextInstances = now.plus(INSTANCES_INTERVAL);
+    nextInstanceList = now.plus(INSTANCE_LIST_INTERVAL);
     if (!role.isReader() && !membership.zonePeers().isEmpty()) {
       return;
     }
@@ -198,12 +202,13 @@
     return all;
   }
 
-  private StoreWatch watchOf(List<String> kinds) {
-    Duration longestWait = freshness.bound().dividedBy(WATCHES_PER_BOUND);
-    return StoreWatch.create(kinds, longestWait, platform, probe, clock, meters, new WatchOwner());
+  private StoreWatch createWatch(List<String> kinds) {
+    Duration maximumWait = freshness.bound().dividedBy(WATCHES_PER_FRESHNESS_BOUND);
+    return StoreWatch.create(
+        kinds, maximumWait, platform, outageProbe, clock, meters, new WatchOwner());
   }
 
-  /** What the watches need of this system. */
+  /** Connects the watches to this system. */
   private final class WatchOwner implements StoreWatch.Owner {
     @Override
     public boolean isReader() {
@@ -227,12 +232,12 @@
 
     @Override
     public void received(List<StoredObject> read, StoreRevision revision, Origin origin) {
-      take(read, revision, origin);
+      applyRead(read, revision, origin);
     }
 
     @Override
-    public void platformFails() {
-      role.platformFails();
+    public void onOutage() {
+      role.requestSubstitute();
     }
   }
 
@@ -245,7 +250,7 @@
     @Override
     public Uni<Boolean> isInSync(Member peer) {
       return network
-          .ask(peer, ownDigest(), SYNC_PATIENCE)
+          .ask(peer, ownDigest(), SYNC_TIMEOUT)
           .map(answer -> ((PeerMessage.Digest) answer).inSync());
     }
 
@@ -255,28 +260,27 @@
     }
   }
 
-  private void take(List<StoredObject> received, StoreRevision revision, Origin origin) {
+  private void applyRead(List<StoredObject> received, StoreRevision revision, Origin origin) {
     freshness.learn(Duration.ZERO, clock.instant());
-    List<StoredObject> fresh = objects.mergeAll(received, origin);
-    received.forEach(object -> noteIfIgnored(object, origin));
-    if (!fresh.isEmpty()) {
-      logger.atInfo().log(
-          "%d objects came into force at revision %s %s", fresh.size(), revision, origin);
+    List<StoredObject> updated = objects.mergeAll(received, origin);
+    received.forEach(object -> recordIfIgnored(object, origin));
+    if (!updated.isEmpty()) {
+      logger.atInfo().log("applied %d objects at revision %s %s", updated.size(), revision, origin);
       if (!role.isStarting()) {
-        spread.read(fresh);
+        broadcaster.broadcast(updated);
       }
     }
   }
 
-  /** Writes a line if the store shows other content than what is in force here. */
-  private void noteIfIgnored(StoredObject read, Origin origin) {
+  /** Counts and logs an object of the store whose content differs from the applied one. */
+  private void recordIfIgnored(StoredObject read, Origin origin) {
     Optional<StoredObject> known = objects.join().get(read.key());
     if (known.isEmpty() || known.get().value().equals(read.value())) {
       return;
     }
     meters.count("store.ignored." + read.key().kind());
-    logger.atInfo().atMostEvery(IGNORED_LINES_SECONDS, TimeUnit.SECONDS).log(
-        "%s revision=%s is ignored, revision=%s is in force %s",
+    logger.atInfo().atMostEvery(IGNORED_OBJECT_LOG_INTERVAL_SECONDS, TimeUnit.SECONDS).log(
+        "ignored %s revision=%s, revision=%s is applied %s",
         read.key(), read.revision(), known.get().revision(), origin);
   }
 
@@ -285,25 +289,25 @@
       return;
     }
     nextExchange = now.plus(EXCHANGE_INTERVAL);
-    start(pick(membership.zonePeers()));
-    membership.parent().ifPresent(parent -> start(exchangeWith(parent)));
+    startExchange(exchangeWithRandomPeer(membership.zonePeers()));
+    membership.parent().ifPresent(parent -> startExchange(exchangeWith(parent)));
     if (role.isReader() || membership.zonePeers().isEmpty()) {
-      start(pick(membership.remotePeers()));
+      startExchange(exchangeWithRandomPeer(membership.remotePeers()));
     }
   }
 
-  /** Starts a comparison; one that fails is made up for by the next. */
-  private void start(Uni<Void> comparison) {
-    comparison.subscribe().with(unused -> {}, this::notCompared);
+  /** Starts a comparison; the next one makes up for a failure. */
+  private void startExchange(Uni<Void> comparison) {
+    comparison.subscribe().with(unused -> {}, this::handleExchangeFailure);
   }
 
-  private void notCompared(Throwable failure) {
+  private void handleExchangeFailure(Throwable failure) {
     meters.count("retry.peer-digest");
-    logger.atInfo().atMostEvery(FAILED_DIGEST_LINES_SECONDS, TimeUnit.SECONDS).log(
-        "digests were not compared: %s", failure.getMessage());
+    logger.atInfo().atMostEvery(FAILED_DIGEST_LOG_INTERVAL_SECONDS, TimeUnit.SECONDS).log(
+        "comparison of digests failed: %s", failure.getMessage());
   }
 
-  private Uni<Void> pick(List<Member> peers) {
+  private Uni<Void> exchangeWithRandomPeer(List<Member> peers) {
     if (peers.isEmpty()) {
       return Uni.createFrom().voidItem();
     }
@@ -322,62 +326,63 @@
 
   private Uni<Void> exchangeWith(Member peer) {
     return network
-        .ask(peer, ownDigest(), PATIENCE)
+        .ask(peer, ownDigest(), EXCHANGE_TIMEOUT)
         .onItem()
-        .transformToUni(answer -> compare(peer, (PeerMessage.Digest) answer));
+        .transformToUni(answer -> compareDigests(peer, (PeerMessage.Digest) answer));
   }
 
-  private Uni<Void> compare(Member peer, PeerMessage.Digest digest) {
+  private Uni<Void> compareDigests(Member peer, PeerMessage.Digest digest) {
     if (digest.digest() == objects.join().digest()) {
-      learnAge(digest.contactAge());
-      learnedAll |= digest.readAll();
+      recordContactAge(digest.contactAge());
+      syncedAllFromPeer |= digest.readAll();
       return Uni.createFrom().voidItem();
     }
     long[] own = objects.join().bucketDigests();
     return network
-        .ask(peer, new PeerMessage.BucketDigests(own, age()), PATIENCE)
-        .invoke(answer -> takeDifference(peer, (PeerMessage.Objects) answer))
-        .invoke(unused -> learnedAll |= digest.readAll())
+        .ask(peer, new PeerMessage.BucketDigests(own, contactAgeMillis()), EXCHANGE_TIMEOUT)
+        .invoke(answer -> mergeDifference(peer, (PeerMessage.Objects) answer))
+        .invoke(unused -> syncedAllFromPeer |= digest.readAll())
         .replaceWithVoid();
   }
 
-  private void takeDifference(Member peer, PeerMessage.Objects objects) {
-    noteEpochs(objects.objects());
-    List<StoredObject> fresh =
+  private void mergeDifference(Member peer, PeerMessage.Objects objects) {
+    recordEpochs(objects.objects());
+    List<StoredObject> updated =
         this.objects.mergeAll(objects.objects(), Origin.comparedWith(peer.name()));
-    learnAge(objects.contactAge());
-    if (!fresh.isEmpty()) {
+    recordContactAge(objects.contactAge());
+    if (!updated.isEmpty()) {
       meters.count("configuration.repaired");
-      spread.brought(fresh);
+      broadcaster.pushToZone(updated);
     }
   }
 
-  /** Learns from objects of another instance that the store was restored. */
-  private void noteEpochs(List<StoredObject> objects) {
+  /** Records the store epochs of objects of a peer, which may reveal that it was restored. */
+  private void recordEpochs(List<StoredObject> objects) {
     objects.forEach(object -> platform.epoch().note(object.revision().epoch()));
   }
 
-  private List<StoredObject> differing(long[] digests) {
+  private List<StoredObject> objectsInDifferingBuckets(long[] digests) {
     long[] own = objects.join().bucketDigests();
-    List<StoredObject> found = new ArrayList<>();
+    List<StoredObject> differing = new ArrayList<>();
     for (int bucket = 0; bucket < Math.min(own.length, digests.length); bucket++) {
       if (own[bucket] != digests[bucket]) {
-        found.addAll(objects.join().bucket(bucket));
+        differing.addAll(objects.join().bucket(bucket));
       }
     }
-    return found;
+    return differing;
   }
 
   private PeerMessage.Digest ownDigest() {
-    return new PeerMessage.Digest(objects.join().digest(), age(), hasReadAll(), isInSync());
+    return new PeerMessage.Digest(
+        objects.join().digest(), contactAgeMillis(), hasReadAll(), isInSync());
   }
 
-  private long age() {
+  private long contactAgeMillis() {
     return freshness.age(clock.instant()).map(Duration::toMillis).orElse(-1L);
   }
 
-  /** Learns the age of a peer's platform contact, once this instance has all that the peer has. */
-  private void learnAge(long ageMillis) {
+  /** Records the age of a peer's platform contact; this instance has all objects of the peer. */
+  private void recordContactAge(long ageMillis) {
     if (ageMillis >= 0) {
       freshness.learn(Duration.ofMillis(ageMillis), clock.instant());
     }
--- a/org.oatlug/src/org/oatlug/internal/config/ObjectSpread.java
+++ b/org.oatlug/src/org/oatlug/internal/config/ObjectBroadcaster.java
@@ -26,26 +26,27 @@
 import org.oatlug.platform.StoredObject;
 
 /**
- * Pushes changes to the other instances of this availability zone, and into the other zones.
+ * Pushes changes to the other instances of this availability zone, and to the other zones.
  *
- * <p>Invariant: whoever learns of a change passes it on once; whoever brings it into the zone,
- * whichever way it came, also tells the root of its tree. So every instance that can be reached is
- * told by pushes alone. Owned by one event loop, not thread-safe.
+ * <p>Invariant: an instance relays each change once. The instance that brings a change into the
+ * zone, through whichever channel, also sends it to the root of its tree. So pushes alone reach
+ * every reachable instance. Owned by one event loop, not thread-safe.
  */
-final class ObjectSpread {
+final class ObjectBroadcaster {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   /**
-   * How long an instance may take to confirm a push before those below it are told past it: many
-   * times the way between zones, and short enough that two silent ones in a row cost less than a
-   * third of the two seconds for which leaving upstreams serve on.
+   * How long an instance may take to acknowledge a push before its subtree is sent the push
+   * directly. Many times the latency between zones, and short enough that two unresponsive
+   * instances in a row cost less than a third of the two seconds for which leaving upstreams still
+   * serve.
    */
-  private static final Duration PUSH_PATIENCE = Duration.ofMillis(300);
+  private static final Duration PUSH_TIMEOUT = Duration.ofMillis(300);
 
-  /** At most a line each so many milliseconds tells of pushes that were not taken. */
-  private static final int LOST_PUSH_LINES_MILLIS = 50;
+  /** Minimum time between log lines about failed pushes. */
+  private static final int FAILED_PUSH_LOG_INTERVAL_MILLIS = 50;
 
-  /** How many instances of each other zone a reader tells. */
+  /** Number of instances of each other zone to which a reader pushes. */
   private static final int REMOTE_RECEIVERS = 2;
 
   private final Membership membership;
@@ -53,10 +54,10 @@
   private final RandomGenerator random;
   private final Meters meters;
   private final LongSupplier contactAge;
-  private List<String> names = List.of();
-  private SpreadTrees trees = SpreadTrees.over(names);
+  private List<String> instanceNames = List.of();
+  private BroadcastTrees trees = BroadcastTrees.over(instanceNames);
 
-  private ObjectSpread(
+  private ObjectBroadcaster(
       Membership membership,
       PeerNetwork network,
       RandomGenerator random,
@@ -70,68 +71,68 @@
   }
 
   /**
-   * Returns a spread of this instance.
+   * Returns the broadcaster of this instance.
    *
    * @param contactAge the age of the last contact with the platform in milliseconds, -1 for none
    */
-  static ObjectSpread create(
+  static ObjectBroadcaster create(
       Membership membership,
       PeerNetwork network,
       RandomGenerator random,
       Meters meters,
       LongSupplier contactAge) {
-    return new ObjectSpread(membership, network, random, meters, contactAge);
+    return new ObjectBroadcaster(membership, network, random, meters, contactAge);
   }
 
-  /** Passes on what this instance read from the platform, to all zones. */
-  void read(List<StoredObject> changes) {
-    brought(changes);
+  /** Pushes changes that this instance read from the platform to all zones. */
+  void broadcast(List<StoredObject> changes) {
+    pushToZone(changes);
     PeerMessage.Objects message = messageOf(changes);
     remoteReceivers().forEach(peer -> send(peer, message, () -> {}));
   }
 
-  /** Passes on what this instance brought into its zone. */
-  void brought(List<StoredObject> changes) {
-    SpreadTrees current = trees();
+  /** Pushes changes that this instance brought into its zone to the instances of the zone. */
+  void pushToZone(List<StoredObject> changes) {
+    BroadcastTrees currentTrees = trees();
     String self = membership.self().name();
     push(
-        current,
+        currentTrees,
         changes,
         change -> {
-          List<String> receivers = new ArrayList<>(current.childrenOf(change, self));
-          receivers.add(current.rootOf(change));
+          List<String> receivers = new ArrayList<>(currentTrees.childrenOf(change, self));
+          receivers.add(currentTrees.rootOf(change));
           return receivers;
         });
   }
 
-  /** Passes on what another instance pushed to this one. */
-  void pushed(Member from, List<StoredObject> changes) {
+  /** Relays changes that another instance pushed to this one. */
+  void relay(Member from, List<StoredObject> changes) {
     if (!from.zone().equals(membership.self().zone())) {
-      // The root has to hear of it, too: the own children alone are only a part of the zone, and
-      // the rest would wait for digests.
-      brought(changes);
+      // The push must also reach the root: the children of this instance are only a part of the
+      // zone, and the rest would not receive the change before the next comparison of digests.
+      pushToZone(changes);
       return;
     }
-    SpreadTrees current = trees();
+    BroadcastTrees currentTrees = trees();
     String self = membership.self().name();
-    push(current, changes, change -> current.childrenOf(change, self));
+    push(currentTrees, changes, change -> currentTrees.childrenOf(change, self));
   }
 
-  /** Returns the trees over the live instances of the zone; they are drawn when these change. */
-  private SpreadTrees trees() {
+  /** Returns the trees over the live instances of the zone, rebuilt when these change. */
+  private BroadcastTrees trees() {
     List<String> live = new ArrayList<>();
     live.add(membership.self().name());
     membership.zonePeers().forEach(peer -> live.add(peer.name()));
-    if (!live.equals(names)) {
-      names = live;
-      trees = SpreadTrees.over(names);
+    if (!live.equals(instanceNames)) {
+      instanceNames = live;
+      trees = BroadcastTrees.over(instanceNames);
     }
     return trees;
   }
 
-  /** Sends each change to its receivers, one message to each of them. */
+  /** Sends the changes to their receivers, one message per receiver. */
   private void push(
-      SpreadTrees over,
+      BroadcastTrees pushTrees,
       List<StoredObject> changes,
       Function<StoredObject, List<String>> receiversOf) {
     Map<String, List<StoredObject>> byReceiver = new TreeMap<>();
@@ -145,29 +146,31 @@
         membership.zonePeers().stream()
             .collect(Collectors.toMap(Member::name, Function.identity()));
     byReceiver.forEach(
-        (name, own) -> pushTo(over, name, Optional.ofNullable(peers.get(name)), own));
+        (name, received) ->
+            pushTo(pushTrees, name, Optional.ofNullable(peers.get(name)), received));
   }
 
   /**
-   * Sends changes to an instance of this zone, and past it if it is silent.
+   * Sends changes to an instance of this zone, or to its subtree if it is unresponsive.
    *
-   * @param peer the instance of this name, empty if it died since the trees were drawn
+   * @param peer the instance of this name, empty if it died since the trees were built
    */
   private void pushTo(
-      SpreadTrees over, String name, Optional<Member> peer, List<StoredObject> changes) {
-    // Those below a silent instance would wait for digests.
-    Runnable passOver = () -> push(over, changes, change -> over.childrenOf(change, name));
+      BroadcastTrees pushTrees, String name, Optional<Member> peer, List<StoredObject> changes) {
+    // Otherwise the subtree would not receive the changes before a comparison of digests.
+    Runnable pushToSubtree =
+        () -> push(pushTrees, changes, change -> pushTrees.childrenOf(change, name));
     if (peer.isEmpty()) {
-      passOver.run();
-    } else if (isDoubtful(peer.get())) {
+      pushToSubtree.run();
+    } else if (isProbablyUnresponsive(peer.get())) {
       send(peer.get(), messageOf(changes), () -> {});
-      passOver.run();
+      pushToSubtree.run();
     } else {
-      send(peer.get(), messageOf(changes), passOver);
+      send(peer.get(), messageOf(changes), pushToSubtree);
     }
   }
 
-  private boolean isDoubtful(Member peer) {
+  private boolean isProbablyUnresponsive(Member peer) {
     return peer.state() == Member.State.SUSPECT || !membership.isReachable(peer);
   }
 
@@ -177,44 +180,44 @@
 
   private void send(Member peer, PeerMessage.Objects message, Runnable onFailure) {
     network
-        .ask(peer, message, PUSH_PATIENCE)
+        .ask(peer, message, PUSH_TIMEOUT)
         .subscribe()
         .with(
             answer -> {},
             failure -> {
-              notTaken(peer, message, failure);
+              recordFailedPush(peer, message, failure);
               onFailure.run();
             });
   }
 
-  private void notTaken(Member peer, PeerMessage.Objects message, Throwable failure) {
+  private void recordFailedPush(Member peer, PeerMessage.Objects message, Throwable failure) {
     meters.count("retry.peer-objects");
     StoreRevision newest =
         message.objects().stream()
             .map(StoredObject::revision)
             .max(Comparator.naturalOrder())
             .orElse(StoreRevision.NONE);
-    logger.atInfo().atMostEvery(LOST_PUSH_LINES_MILLIS, TimeUnit.MILLISECONDS).log(
-        "%d objects up to revision %s did not reach %s: %s",
+    logger.atInfo().atMostEvery(FAILED_PUSH_LOG_INTERVAL_MILLIS, TimeUnit.MILLISECONDS).log(
+        "push of %d objects up to revision %s to %s failed: %s",
         message.objects().size(), newest, peer.name(), failure.getMessage());
   }
 
-  /** Returns a few live instances of each other zone, others each time, reachable ones first. */
+  /** Returns a few random live instances of each other zone, preferring reachable ones. */
   private List<Member> remoteReceivers() {
     Map<String, List<Member>> byZone =
         membership.remotePeers().stream()
             .collect(Collectors.groupingBy(Member::zone, TreeMap::new, Collectors.toList()));
     List<Member> receivers = new ArrayList<>();
-    byZone.values().forEach(zone -> receivers.addAll(someOf(zone)));
+    byZone.values().forEach(zone -> receivers.addAll(chooseReceivers(zone)));
     return receivers;
   }
 
-  private List<Member> someOf(List<Member> zone) {
+  private List<Member> chooseReceivers(List<Member> zone) {
     List<Member> reachable = zone.stream().filter(membership::isReachable).toList();
-    List<Member> left = new ArrayList<>(reachable.isEmpty() ? zone : reachable);
+    List<Member> candidates = new ArrayList<>(reachable.isEmpty() ? zone : reachable);
     List<Member> chosen = new ArrayList<>();
-    while (!left.isEmpty() && chosen.size() < REMOTE_RECEIVERS) {
-      chosen.add(left.remove(random.nextInt(left.size())));
+    while (!candidates.isEmpty() && chosen.size() < REMOTE_RECEIVERS) {
+      chosen.add(candidates.remove(random.nextInt(candidates.size())));
     }
     return chosen;
   }
--- a/org.oatlug/src/org/oatlug/internal/config/ObjectJoin.java
+++ b/org.oatlug/src/org/oatlug/internal/config/ObjectJoin.java
@@ -17,18 +17,18 @@
 import org.oatlug.platform.StoredObject;
 
 /**
- * The newest known state of each published object, tombstones included.
+ * Holds the newest known state of each published object, tombstones included.
  *
- * <p>The later revision counts, unless {@link ObjectRules} say otherwise. Invariant: merging is
- * commutative, associative and idempotent, so the order, the loss and the repetition of messages
- * cannot make an accepted object revert, across restores of the store neither. Two joins with the
+ * <p>The later revision takes precedence, unless {@link ObjectRules} decide otherwise. Invariant:
+ * merging is commutative, associative and idempotent, so reordered, lost or repeated messages
+ * cannot make an accepted object revert, not even across restores of the store. Two joins with the
  * same objects have the same digests. Owned by one event loop, not thread-safe.
  */
 public final class ObjectJoin {
-  /** The number of buckets over which the digests are spread. */
+  /** The number of buckets into which the objects are divided, each with its own digest. */
   public static final int BUCKETS = 64;
 
-  /** A tombstone goes before content of the same revision and standing. */
+  /** Orders states of an object; a tombstone overrides content of equal revision and standing. */
   private static final Comparator<StoredObject> BY_REVISION =
       Comparator.comparing(StoredObject::revision)
           .thenComparing(StoredObject::standing)
@@ -47,7 +47,7 @@
     return new ObjectJoin(rules);
   }
 
-  /** Takes an object in; returns the state that counts now if that is another than before. */
+  /** Merges an object; returns the resulting state if it differs from the previous one. */
   public Optional<StoredObject> merge(StoredObject object) {
     StoredObject known = objects.get(object.key());
     StoredObject joined = known == null ? object : join(known, object);
@@ -55,10 +55,10 @@
       return Optional.empty();
     }
     if (known != null) {
-      mix(known);
+      toggleInDigest(known);
     }
     objects.put(object.key(), joined);
-    mix(joined);
+    toggleInDigest(joined);
     return Optional.of(joined);
   }
 
@@ -71,22 +71,22 @@
     StoredObject earlier = inOrder ? known : object;
     StoredObject later = inOrder ? object : known;
     boolean restored = earlier.revision().epoch() < later.revision().epoch();
-    boolean mayOutlive = restored || earlier.retained();
-    if (!mayOutlive || later.standing() == StoredObject.Standing.CONFIRMED) {
+    boolean mayRetainEarlier = restored || earlier.retained();
+    if (!mayRetainEarlier || later.standing() == StoredObject.Standing.CONFIRMED) {
       return later;
     }
     return rules.retained(earlier, later).map(later::retaining).orElse(later);
   }
 
-  private static int compare(StoredObject one, StoredObject other) {
-    int order = BY_REVISION.compare(one, other);
-    // Only of content that was retained may there be several at one revision.
-    return order != 0 || !one.retained()
+  private static int compare(StoredObject first, StoredObject second) {
+    int order = BY_REVISION.compare(first, second);
+    // Only retained content may differ between states of one revision.
+    return order != 0 || !first.retained()
         ? order
-        : one.value().toString().compareTo(other.value().toString());
+        : first.value().toString().compareTo(second.value().toString());
   }
 
-  /** Returns the content that marks the object as deleted. */
+  /** Returns the tombstone that replaces the last content of an object. */
   public JsonNode tombstoneOf(StoredObject last) {
     return rules.tombstoneOf(last);
   }
@@ -103,13 +103,13 @@
 
   /** Returns the objects of one bucket. */
   public List<StoredObject> bucket(int bucket) {
-    List<StoredObject> found = new ArrayList<>();
+    List<StoredObject> matching = new ArrayList<>();
     for (StoredObject object : objects.values()) {
       if (bucketOf(object.key()) == bucket) {
-        found.add(object);
+        matching.add(object);
       }
     }
-    return found;
+    return matching;
   }
 
   /** Returns the digest of each bucket. */
@@ -126,10 +126,10 @@
     return sum;
   }
 
-  private void mix(StoredObject object) {
-    boolean gone = Kinds.isTombstone(object.value());
+  private void toggleInDigest(StoredObject object) {
+    boolean deleted = Kinds.isTombstone(object.value());
     String content = object.retained() ? object.value().toString() : "";
-    String state = object.revision() + (gone ? "-" : "+") + object.standing();
+    String state = object.revision() + (deleted ? "-" : "+") + object.standing();
     long hash = Hashes.hash64(object.key().toString(), state, content);
     digests[bucketOf(object.key())] ^= hash;
   }
--- a/org.oatlug/src/org/oatlug/internal/config/ObjectRules.java
+++ b/org.oatlug/src/org/oatlug/internal/config/ObjectRules.java
@@ -9,11 +9,11 @@
 import org.oatlug.platform.StoredObject;
 
 /**
- * What decides between two states of an object besides the revisions of the store, which are lost
- * in part when it is restored from a copy. Implementations are stateless and thread-safe.
+ * Decides between two states of an object beyond the revisions of the store, of which the latest
+ * are lost when it is restored from a copy. Implementations are stateless and thread-safe.
  */
 public interface ObjectRules {
-  /** Rules by which the later revision always counts. */
+  /** Rules by which the later revision always takes precedence. */
   ObjectRules BY_REVISION =
       new ObjectRules() {
         @Override
@@ -28,20 +28,20 @@
       };
 
   /**
-   * Returns the number by which the writer itself orders the contents of the object; it goes before
-   * the revision. The same for all objects of kinds that have no such number.
+   * Returns the number by which the writer itself orders the contents of the object; it takes
+   * precedence over the revision. Equal for all objects of kinds that have no such number.
    */
   long versionOf(StoredObject object);
 
   /**
-   * Returns the content that counts instead of the later one, empty if the later one counts.
+   * Returns the content that replaces the later one, empty if the later one takes precedence.
    *
-   * @param earlier what was known in an earlier epoch of the store, or retained from there
-   * @param later what the store shows in a later epoch, or at a later revision
+   * @param earlier the state known from an earlier epoch of the store, or retained from it
+   * @param later the state that the store holds in a later epoch, or at a later revision
    */
   Optional<JsonNode> retained(StoredObject earlier, StoredObject later);
 
-  /** Returns the content that marks the object as deleted, with what is needed of the last one. */
+  /** Returns the content that marks the object as deleted; it may keep parts of the last one. */
   default JsonNode tombstoneOf(StoredObject last) {
     return Kinds.tombstone();
   }
--- a/org.oatlug/src/org/oatlug/internal/config/Origin.java
+++ b/org.oatlug/src/org/oatlug/internal/config/Origin.java
@@ -6,43 +6,43 @@
 import java.util.Locale;
 
 /**
- * Which way objects came to this instance. Immutable, thread-safe.
+ * Source from which this instance received objects. Immutable, thread-safe.
  *
- * @param way the way
- * @param from the name of the instance that sent them, "store" if none did
+ * @param channel the channel
+ * @param sender the name of the sending instance, "store" if they came from the store
  */
-public record Origin(Way way, String from) {
-  /** Objects that this instance wrote, or that the answer to its write showed. */
-  public static final Origin OWN_WRITE = new Origin(Way.WRITE, "store");
+public record Origin(Channel channel, String sender) {
+  /** Objects that this instance wrote, or that the response to its write contained. */
+  public static final Origin OWN_WRITE = new Origin(Channel.WRITE, "store");
 
-  static final Origin LIST = new Origin(Way.LIST, "store");
-  static final Origin WATCH = new Origin(Way.WATCH, "store");
+  static final Origin LIST = new Origin(Channel.LIST, "store");
+  static final Origin WATCH = new Origin(Channel.WATCH, "store");
 
-  /** The ways in which objects reach an instance. */
-  public enum Way {
+  /** Channels through which objects reach an instance. */
+  public enum Channel {
     /** A list of the store. */
     LIST,
-    /** A watch at the store. */
+    /** A watch of the store. */
     WATCH,
-    /** The answer to a write of this instance. */
+    /** The response to a write of this instance. */
     WRITE,
-    /** A push of another instance, soon after it learned of the change itself. */
+    /** A push by another instance, soon after it received the change itself. */
     PUSH,
-    /** A comparison of digests, which repairs what pushes left out. */
+    /** A comparison of digests, which repairs lost pushes. */
     DIGEST
   }
 
   static Origin pushedBy(String instance) {
-    return new Origin(Way.PUSH, instance);
+    return new Origin(Channel.PUSH, instance);
   }
 
   static Origin comparedWith(String instance) {
-    return new Origin(Way.DIGEST, instance);
+    return new Origin(Channel.DIGEST, instance);
   }
 
-  /** Returns the way and the sender as fields of a log line. */
+  /** Returns the channel and the sender as fields of a log line. */
   @Override
   public String toString() {
-    return "by=" + way.name().toLowerCase(Locale.ROOT) + " from=" + from;
+    return "by=" + channel.name().toLowerCase(Locale.ROOT) + " from=" + sender;
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/config/OutageProbe.java
+++ b/org.oatlug/src/org/oatlug/internal/config/OutageProbe.java
@@ -7,49 +7,49 @@
 import java.time.Instant;
 
 /**
- * Lets the watches of one instance find out together whether the platform answers again.
+ * Limits the retries of all watches of one instance during an outage of the platform.
  *
- * <p>Load pattern: the platform fails all kinds at once, and each watch would try on its own, at
- * every reader: eight calls a second of four kinds. One of them tries in the place of all, and all
- * go on as soon as any of them was answered: {@code StoreOutageTest} counts 216 calls in place of
+ * <p>An outage fails all kinds at once. If each watch retried on its own, every reader would make
+ * eight calls a second for four kinds. Instead one watch probes the platform on behalf of all, and
+ * all continue as soon as any call succeeds: {@code StoreOutageTest} counts 216 calls instead of
  * 486.
  *
- * <p>Invariant: between two tries while nothing was answered lies {@link #PAUSE}, whoever tries.
- * Owned by one event loop, not thread-safe.
+ * <p>Invariant: attempts during an outage are at least {@link #RETRY_INTERVAL} apart, whichever
+ * watch makes them. Owned by one event loop, not thread-safe.
  */
 final class OutageProbe {
-  /** How often it is tried; news of the end of an outage is late by no more. */
-  static final Duration PAUSE = Duration.ofMillis(500);
+  /** Time between attempts, and so the maximum delay in detecting the end of an outage. */
+  static final Duration RETRY_INTERVAL = Duration.ofMillis(500);
 
-  private Instant nextTry = Instant.EPOCH;
-  private boolean answered = true;
+  private Instant nextAttempt = Instant.EPOCH;
+  private boolean available = true;
 
   private OutageProbe() {}
 
-  /** Returns a probe of a platform that did not fail yet. */
+  /** Returns a probe of a platform that has not failed yet. */
   static OutageProbe create() {
     return new OutageProbe();
   }
 
-  /** Notes that a call was answered. */
-  void answered() {
-    answered = true;
+  /** Records a successful call. */
+  void recordSuccess() {
+    available = true;
   }
 
-  /** Notes that a call failed. */
-  void failed() {
-    answered = false;
+  /** Records a failed call. */
+  void recordFailure() {
+    available = false;
   }
 
-  /** Returns whether a watch that failed again and again may call now, and counts the call. */
-  boolean mayTry(Instant now) {
-    if (answered) {
+  /** Returns whether a watch that failed repeatedly may call now, and reserves the attempt. */
+  boolean acquireAttempt(Instant now) {
+    if (available) {
       return true;
     }
-    if (now.isBefore(nextTry)) {
+    if (now.isBefore(nextAttempt)) {
       return false;
     }
-    nextTry = now.plus(PAUSE);
+    nextAttempt = now.plus(RETRY_INTERVAL);
     return true;
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/config/PolicyProgram.java
+++ b/org.oatlug/src/org/oatlug/internal/config/PolicyProgram.java
@@ -19,10 +19,10 @@
 import org.oatlug.errors.PolicyInvalidException;
 
 /**
- * A compiled policy.
+ * Compiled policy.
  *
- * <p>Invariant: it is of type bool, and its cost is bounded, because programs have a bounded length
- * and a bounded number of comprehension steps. A program that fails while it runs denies.
+ * <p>Invariant: its result type is bool, and its cost is bounded, because programs have a bounded
+ * length and a bounded number of comprehension steps. A program that fails at run time denies.
  * Immutable, thread-safe.
  */
 public final class PolicyProgram {
@@ -66,9 +66,9 @@
       return new PolicyProgram(RUNTIME.createProgram(tree));
     } catch (CelValidationException e) {
       CelIssue issue = e.getErrors().get(0);
-      CelSourceLocation place = issue.getSourceLocation();
-      int column = place.getColumn() + 1;
-      throw new PolicyInvalidException(name, place.getLine(), column, issue.getMessage());
+      CelSourceLocation location = issue.getSourceLocation();
+      int column = location.getColumn() + 1;
+      throw new PolicyInvalidException(name, location.getLine(), column, issue.getMessage());
     } catch (CelEvaluationException e) {
       throw new PolicyInvalidException(name, 1, 1, e.getMessage());
     }
@@ -85,7 +85,7 @@
   }
 
   /**
-   * What a policy is asked about.
+   * Input of the evaluation of a policy.
    *
    * @param workspace the workspace
    * @param model the model
--- a/org.oatlug/src/org/oatlug/internal/config/ReaderRole.java
+++ b/org.oatlug/src/org/oatlug/internal/config/ReaderRole.java
@@ -18,50 +18,51 @@
 import org.oatlug.internal.peer.PeerNetwork;
 
 /**
- * Whether this instance reads the platform for its availability zone.
+ * Determines whether this instance reads the platform for its availability zone.
  *
- * <p>The first instances by rank do. One of them that the platform fails asks another instance of
- * the zone, and then the next ones, to read in its place: without that a zone that was cut off from
- * the others learned nothing while both its readers were turned away, though the other instances
- * reached the store. An instance that has just started reads everything once for itself and meets
- * the others before it may be a reader. Invariant: who reads in another's place reached the
- * platform when it took that over, and ends it by itself unless it is asked again. Owned by one
- * event loop, not thread-safe.
+ * <p>The first instances by rank do. A reader whose calls to the platform fail asks other instances
+ * of the zone, one after the other, to substitute for it. Without substitutes, a zone that is
+ * partitioned from the others would receive no changes while the store refuses both its readers,
+ * although its other instances can reach the store. An instance that has just started reads all
+ * objects once for itself and discovers its peers before it may be a reader. Invariant: a
+ * substitute reached the platform when it took over, and stops by itself unless it is asked again.
+ * Owned by one event loop, not thread-safe.
  */
 final class ReaderRole {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** How long a stand-in reads after it was asked: a few times the interval of asking. */
-  private static final Duration STAND_IN = Duration.ofSeconds(3);
+  /** How long a substitute reads after a request: a few times the interval of requests. */
+  private static final Duration SUBSTITUTION_TIME = Duration.ofSeconds(3);
 
-  /** How often a reader that the platform fails asks. */
-  private static final Duration ASK_INTERVAL = Duration.ofSeconds(1);
+  /** Interval at which a reader whose calls to the platform fail requests a substitute. */
+  private static final Duration REQUEST_INTERVAL = Duration.ofSeconds(1);
 
   /**
-   * How many are asked one after the other in an interval. With half of the instances turned away
-   * one in eight rounds finds nobody; one a second left a zone without a reader for 3 s. While the
-   * platform is away for all, each costs one call of it.
+   * Maximum number of instances asked in succession per interval. If the platform refuses half of
+   * the instances, one in eight rounds finds no substitute; asking one instance a second left a
+   * zone without a reader for 3 s. In an outage for all instances, each request costs one call to
+   * the platform.
    */
-  private static final int ASKED_IN_A_ROW = 3;
+  private static final int MAXIMUM_REQUESTS_PER_INTERVAL = 3;
 
   /**
-   * How long an instance that starts meets the others of its zone before it may be a reader. When
-   * all start at once, each would watch the store like a reader meanwhile. Less than the time for
-   * which leaving upstreams serve on, as nothing new is read meanwhile.
+   * How long a starting instance discovers the others of its zone before it may be a reader.
+   * Without this delay, instances that start at once would all watch the store like readers. Less
+   * than the time for which leaving upstreams still serve, as no changes are read during the delay.
    */
-  private static final Duration MEETING = Duration.ofMillis(1200);
+  private static final Duration DISCOVERY_TIME = Duration.ofMillis(1200);
 
-  /** Longer than a call to the platform takes until it is given up, which is one second. */
-  private static final Duration ASK_PATIENCE = Duration.ofMillis(1200);
+  /** Longer than the timeout of a call to the platform, which is one second. */
+  private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(1200);
 
   private final Membership membership;
   private final PeerNetwork network;
   private final InstantSource clock;
   private final Meters meters;
-  private final Supplier<Uni<Void>> platformCheck;
+  private final Supplier<Uni<Void>> platformProbe;
   private Optional<Instant> startedAt = Optional.empty();
-  private Instant standsInUntil = Instant.EPOCH;
-  private Instant nextAsk = Instant.EPOCH;
+  private Instant substituteUntil = Instant.EPOCH;
+  private Instant nextRequest = Instant.EPOCH;
   private int refusals;
   private boolean starting = true;
   private boolean reader;
@@ -71,102 +72,105 @@
       PeerNetwork network,
       InstantSource clock,
       Meters meters,
-      Supplier<Uni<Void>> platformCheck) {
+      Supplier<Uni<Void>> platformProbe) {
     this.membership = membership;
     this.network = network;
     this.clock = clock;
     this.meters = meters;
-    this.platformCheck = platformCheck;
+    this.platformProbe = platformProbe;
   }
 
   /**
    * Returns the role of an instance, which does not read yet.
    *
-   * @param platformCheck reads something from the platform; fails if it cannot be reached
+   * @param platformProbe reads one list from the platform; fails if it cannot be reached
    */
   static ReaderRole create(
       Membership membership,
       PeerNetwork network,
       InstantSource clock,
       Meters meters,
-      Supplier<Uni<Void>> platformCheck) {
-    return new ReaderRole(membership, network, clock, meters, platformCheck);
+      Supplier<Uni<Void>> platformProbe) {
+    return new ReaderRole(membership, network, clock, meters, platformProbe);
   }
 
-  /** Works out the role anew; called once a tick. */
+  /** Updates the role; called once a tick. */
   void tick() {
-    starting = starting && isMeeting();
-    boolean isReader = !starting && membership.isReader() || standsIn();
+    starting = starting && isDiscoveringPeers();
+    boolean isReader = !starting && membership.isReader() || isSubstitute();
     if (isReader != reader) {
       reader = isReader;
-      String role = reader ? "reads the store for its zone" : "leaves the store to other readers";
+      String role =
+          reader ? "reads the store for its zone" : "no longer reads the store for its zone";
       logger.atInfo().log("this instance %s", role);
     }
   }
 
-  private boolean isMeeting() {
+  private boolean isDiscoveringPeers() {
     Instant now = clock.instant();
     if (startedAt.isEmpty()) {
       startedAt = Optional.of(now);
     }
-    return membership.knowsOfOthers() && now.isBefore(startedAt.get().plus(MEETING));
+    return membership.knowsOfOthers() && now.isBefore(startedAt.get().plus(DISCOVERY_TIME));
   }
 
-  /** Returns whether this instance reads. */
+  /** Returns whether this instance reads the platform for its zone. */
   boolean isReader() {
     return reader;
   }
 
   /** Returns whether the zone depends on what this instance reads. */
   boolean isFirstReader() {
-    return membership.isFirstReader() || standsIn();
+    return membership.isFirstReader() || isSubstitute();
   }
 
-  /** Returns whether this instance has just started and reads everything once for itself. */
+  /** Returns whether this instance is starting and reads all objects once for itself. */
   boolean isStarting() {
     return starting;
   }
 
-  private boolean standsIn() {
-    return clock.instant().isBefore(standsInUntil);
+  private boolean isSubstitute() {
+    return clock.instant().isBefore(substituteUntil);
   }
 
-  /** Asks another instance to read, as the platform fails this one again and again. */
-  void platformFails() {
+  /** Requests a substitute, as calls of this instance to the platform fail repeatedly. */
+  void requestSubstitute() {
     Instant now = clock.instant();
-    List<Member> others = membership.standInsForReader();
-    if (!membership.isReader() || others.isEmpty() || now.isBefore(nextAsk)) {
+    List<Member> candidates = membership.standInsForReader();
+    if (!membership.isReader() || candidates.isEmpty() || now.isBefore(nextRequest)) {
       return;
     }
-    nextAsk = now.plus(ASK_INTERVAL);
-    ask(others, Math.min(ASKED_IN_A_ROW, others.size()));
+    nextRequest = now.plus(REQUEST_INTERVAL);
+    requestFrom(candidates, Math.min(MAXIMUM_REQUESTS_PER_INTERVAL, candidates.size()));
   }
 
-  private void ask(List<Member> others, int left) {
-    Member other = others.get(refusals % others.size());
+  private void requestFrom(List<Member> candidates, int remainingRequests) {
+    Member candidate = candidates.get(refusals % candidates.size());
     network
-        .ask(other, new PeerMessage.ReadInstead(), ASK_PATIENCE)
+        .ask(candidate, new PeerMessage.ReadInstead(), REQUEST_TIMEOUT)
         .subscribe()
         .with(
-            answer -> logger.atInfo().log("instance %s reads the store instead", other.name()),
-            failure -> refused(others, other, left - 1));
+            answer ->
+                logger.atInfo().log(
+                    "instance %s reads the store as a substitute", candidate.name()),
+            failure -> handleRefusal(candidates, candidate, remainingRequests - 1));
   }
 
-  /** Notes that another instance cannot read either, and asks the next one. */
-  private void refused(List<Member> others, Member other, int left) {
+  /** Records that another instance cannot read either, and asks the next one. */
+  private void handleRefusal(List<Member> candidates, Member candidate, int remainingRequests) {
     refusals++;
     meters.count("retry.read-instead");
-    logger.atInfo().log("instance %s cannot read the store instead", other.name());
-    if (left > 0) {
-      ask(others, left);
+    logger.atInfo().log("instance %s cannot read the store as a substitute", candidate.name());
+    if (remainingRequests > 0) {
+      requestFrom(candidates, remainingRequests);
     }
   }
 
-  /** Answers a reader that the platform fails: reads in its place if the platform can be read. */
-  Uni<PeerMessage> readInstead() {
-    return platformCheck
+  /** Handles the request of a reader; substitutes for it if the platform can be read. */
+  Uni<PeerMessage> handleReadInstead() {
+    return platformProbe
         .get()
-        .invoke(unused -> standsInUntil = clock.instant().plus(STAND_IN))
+        .invoke(unused -> substituteUntil = clock.instant().plus(SUBSTITUTION_TIME))
         .map(unused -> (PeerMessage) new PeerMessage.Done())
         .onFailure()
         .recoverWithItem(failure -> new PeerMessage.Failed(failure.getMessage()));
--- a/org.oatlug/src/org/oatlug/internal/config/StartupSync.java
+++ b/org.oatlug/src/org/oatlug/internal/config/StartupSync.java
@@ -14,26 +14,27 @@
 import org.oatlug.internal.peer.Member;
 
 /**
- * Brings an instance that starts up to date with the instances that run already.
+ * Synchronizes a starting instance with the instances that are already running.
  *
- * <p>The store may just have been restored from a copy and lack what they know; an instance that
- * served by the store alone would go back behind them. A few others are asked whether they are in
- * sync. Once this instance has read the store, it compares digests with one that is, and fetches
- * what it lacks. If none is, the store is all there is. Invariant: an instance that is in sync
- * stays so. Owned by one event loop, not thread-safe.
+ * <p>The store may just have been restored from a copy that lacks objects which they know; an
+ * instance that relied on the store alone would serve an older state than theirs. So a few peers
+ * are asked whether they are in sync. Once this instance has read the store, it compares digests
+ * with a peer that is in sync, and fetches the objects that it lacks. If no peer is in sync, the
+ * store is the only source. Invariant: an instance that is in sync remains so. Owned by one event
+ * loop, not thread-safe.
  */
 final class StartupSync {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** How many others are asked; unless most instances start at once, most are in sync. */
-  private static final int MOST_ASKED = 5;
+  /** Number of peers asked; most are in sync unless most instances start at once. */
+  private static final int MAXIMUM_PEERS_ASKED = 5;
 
   private final Membership membership;
   private final RandomGenerator random;
   private final Peers peers;
   private final Deque<Member> sources = new ArrayDeque<>();
-  private boolean begun;
-  private int unanswered;
+  private boolean started;
+  private int pendingAnswers;
   private boolean fetching;
   private boolean inSync;
 
@@ -43,70 +44,72 @@
     this.peers = peers;
   }
 
-  /** What is needed of the exchange with other instances. */
+  /** Exchange with other instances. */
   interface Peers {
-    /** Returns whether this instance has read the store, or has heard from one that has. */
+    /** Returns whether this instance has read the store, or synchronized with one that has. */
     boolean hasReadAll();
 
     /** Asks another instance whether it is in sync. */
     Uni<Boolean> isInSync(Member peer);
 
-    /** Fetches what another instance knows and this one lacks. */
+    /** Fetches the objects that another instance has and this one lacks. */
     Uni<Void> fetch(Member peer);
   }
 
-  /** Returns a synchronization that has not begun. */
+  /** Returns a synchronization that has not started. */
   static StartupSync create(Membership membership, RandomGenerator random, Peers peers) {
     return new StartupSync(membership, random, peers);
   }
 
-  /** Returns whether this instance knows what others know, or has found nobody to ask. */
+  /** Returns whether this instance is synchronized with a peer, or found no peer in sync. */
   boolean isInSync() {
     return inSync;
   }
 
-  /** Takes the next step; called once a tick. */
+  /** Performs the next step; called once a tick. */
   void tick() {
     if (inSync) {
       return;
     }
-    if (!begun) {
-      begun = true;
-      askOthers();
+    if (!started) {
+      started = true;
+      askPeers();
     }
-    goOn();
+    proceed();
   }
 
-  private void askOthers() {
-    List<Member> others = membership.addressedPeers();
+  private void askPeers() {
+    List<Member> candidates = membership.addressedPeers();
     List<Member> asked = new ArrayList<>();
-    while (!others.isEmpty() && asked.size() < MOST_ASKED) {
-      asked.add(others.remove(random.nextInt(others.size())));
+    while (!candidates.isEmpty() && asked.size() < MAXIMUM_PEERS_ASKED) {
+      asked.add(candidates.remove(random.nextInt(candidates.size())));
     }
-    unanswered = asked.size();
+    pendingAnswers = asked.size();
     asked.forEach(
         peer ->
             peers
                 .isInSync(peer)
                 .subscribe()
-                .with(peerInSync -> answered(peer, peerInSync), failure -> answered(peer, false)));
+                .with(
+                    peerInSync -> handleAnswer(peer, peerInSync),
+                    failure -> handleAnswer(peer, false)));
   }
 
-  private void answered(Member peer, boolean peerInSync) {
-    unanswered--;
+  private void handleAnswer(Member peer, boolean peerInSync) {
+    pendingAnswers--;
     if (peerInSync) {
       sources.add(peer);
     }
-    goOn();
+    proceed();
   }
 
-  private void goOn() {
+  private void proceed() {
     if (inSync || fetching) {
       return;
     }
     if (sources.isEmpty()) {
-      if (unanswered == 0) {
-        finish("no running instance was found");
+      if (pendingAnswers == 0) {
+        finish("no running instance in sync was found");
       }
     } else if (peers.hasReadAll()) {
       fetch(sources.remove());
@@ -122,12 +125,12 @@
             unused -> finish("compared with " + peer.name()),
             failure -> {
               fetching = false;
-              goOn();
+              proceed();
             });
   }
 
-  private void finish(String how) {
+  private void finish(String reason) {
     inSync = true;
-    logger.atInfo().log("this instance is in sync, %s", how);
+    logger.atInfo().log("this instance is in sync, %s", reason);
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/config/StoreWatch.java
+++ b/org.oatlug/src/org/oatlug/internal/config/StoreWatch.java
@@ -24,10 +24,10 @@
 import org.oatlug.platform.StoredObject;
 
 /**
- * Reads the kinds of one group from the platform: a list first, then watches, a list again after
- * any failure and after each restore of the store.
+ * Reads the kinds of one group from the platform: a list first, then watches, and a list again
+ * after any failure and after each restore of the store.
  *
- * <p>Invariants: at most one call is open; a watch goes on only within the epoch that it began in.
+ * <p>Invariants: at most one call is open; a watch continues only within the epoch it began in.
  * Owned by one event loop, not thread-safe.
  */
 final class StoreWatch {
@@ -35,67 +35,67 @@
   private static final Duration LIST_INTERVAL = Duration.ofSeconds(30);
 
   /**
-   * How long a watch rests after it brought something, so that changes which follow each other come
-   * with one call. Little beside the two seconds for which leaving upstreams serve on.
+   * Delay before the next watch after one that returned changes, so that one call returns several
+   * successive changes. Short compared to the two seconds for which leaving upstreams still serve.
    */
-  private static final Duration REST_AFTER_CHANGE = Duration.ofMillis(150);
+  private static final Duration DELAY_AFTER_CHANGE = Duration.ofMillis(150);
 
-  /** The same at a reader that stands beside the first one, which pushes what it reads. */
-  private static final Duration REST_BESIDE_FIRST = Duration.ofMillis(500);
+  /** The same delay at a secondary reader; the first reader pushes the changes to it. */
+  private static final Duration SECONDARY_DELAY_AFTER_CHANGE = Duration.ofMillis(500);
 
-  /** How many times longer a reader beside the first one waits for a change. */
-  private static final int WAIT_FACTOR_BESIDE_FIRST = 3;
+  /** Factor by which a watch of a secondary reader waits longer for a change. */
+  private static final int SECONDARY_WAIT_FACTOR = 3;
 
-  /** So many failures in a row are an outage, during which entries may lapse by themselves. */
+  /** Consecutive failures that count as an outage, during which entries may expire. */
   private static final int OUTAGE_FAILURES = 2;
 
   /**
-   * How long after an outage missing entries are believed to come back: the two seconds in which
-   * the platform says they do, less what remains of the bound for leaving upstreams.
+   * How long after an outage missing entries are expected to reappear: the two seconds within which
+   * the platform states that they do, less the remainder of the bound for leaving upstreams.
    */
-  private static final Duration LAPSE_GRACE = Duration.ofMillis(1800);
+  private static final Duration EXPIRY_GRACE = Duration.ofMillis(1800);
 
   /**
-   * How long after a restore missing objects of operators are believed to be written again. Nobody
-   * bounds that; a deletion that is really meant waits no longer than for a regular list.
+   * How long after a restore missing objects of operators are expected to be written again. No
+   * bound exists for that; an intended deletion is delayed by no more than one list interval.
    */
   private static final Duration REWRITE_GRACE = LIST_INTERVAL;
 
   private final List<String> kinds;
-  private final Duration longestWait;
+  private final Duration maximumWait;
   private final Platform platform;
-  private final OutageProbe probe;
+  private final OutageProbe outageProbe;
   private final InstantSource clock;
   private final Meters meters;
   private final Owner owner;
-  private Optional<Cancellable> open = Optional.empty();
+  private Optional<Cancellable> openCall = Optional.empty();
   private StoreRevision revision = StoreRevision.NONE;
   private long epoch = StoreEpoch.UNNAMED;
   private Instant epochSince = Instant.EPOCH;
-  private boolean read;
-  private int failuresInRow;
-  private Instant believedUntil = Instant.EPOCH;
+  private boolean hasBeenRead;
+  private int consecutiveFailures;
+  private Instant toleratesMissingUntil = Instant.EPOCH;
   private Instant nextList = Instant.EPOCH;
   private Instant nextCall = Instant.EPOCH;
 
   private StoreWatch(
       List<String> kinds,
-      Duration longestWait,
+      Duration maximumWait,
       Platform platform,
-      OutageProbe probe,
+      OutageProbe outageProbe,
       InstantSource clock,
       Meters meters,
       Owner owner) {
     this.kinds = kinds;
-    this.longestWait = longestWait;
+    this.maximumWait = maximumWait;
     this.platform = platform;
-    this.probe = probe;
+    this.outageProbe = outageProbe;
     this.clock = clock;
     this.meters = meters;
     this.owner = owner;
   }
 
-  /** Takes what was read. */
+  /** Receives the objects and supplies the role of this instance. */
   interface Owner {
     /** Returns whether this instance reads the platform. */
     boolean isReader();
@@ -103,71 +103,72 @@
     /** Returns whether the availability zone depends on what this instance reads. */
     boolean isFirstReader();
 
-    /** Returns whether this instance has just started and reads once for itself. */
+    /** Returns whether this instance is starting and reads all objects once for itself. */
     boolean isStarting();
 
-    /** Returns the objects that are known. */
+    /** Returns the known objects. */
     ObjectJoin known();
 
-    /** Takes in objects that were read up to the revision. */
+    /** Applies objects that were read up to the revision. */
     void received(List<StoredObject> objects, StoreRevision revision, Origin origin);
 
-    /** Is told that the platform fails again and again. */
-    void platformFails();
+    /** Handles repeated failures of the platform. */
+    void onOutage();
   }
 
   /**
-   * Returns a watch that has not read anything yet.
+   * Returns a watch that has not read any object yet.
    *
    * @param kinds the kinds that are read with one call
-   * @param longestWait how long a watch of the first reader waits for a change
-   * @param probe shared by the watches of an instance
+   * @param maximumWait the time for which a watch of the first reader waits for a change
+   * @param outageProbe shared by the watches of an instance
    */
   static StoreWatch create(
       List<String> kinds,
-      Duration longestWait,
+      Duration maximumWait,
       Platform platform,
-      OutageProbe probe,
+      OutageProbe outageProbe,
       InstantSource clock,
       Meters meters,
       Owner owner) {
-    return new StoreWatch(kinds, longestWait, platform, probe, clock, meters, owner);
+    return new StoreWatch(kinds, maximumWait, platform, outageProbe, clock, meters, owner);
   }
 
-  /** Makes the next call if none is open, it is due, and this instance reads. */
+  /** Starts the next call if none is open, it is due, and this instance reads. */
   void tick(Instant now) {
-    noteEpoch();
-    boolean wanted = owner.isReader() || owner.isStarting() && hasNoRevision();
-    if (open.isPresent() || now.isBefore(nextCall) || !wanted || !mayCall(now)) {
+    checkEpoch();
+    boolean shouldRead = owner.isReader() || owner.isStarting() && hasNoRevision();
+    if (openCall.isPresent() || now.isBefore(nextCall) || !shouldRead || !mayCall(now)) {
       return;
     }
-    boolean list = hasNoRevision() || !now.isBefore(nextList);
-    Uni<Void> call = list ? listOnce() : watchOnce();
-    // It may be answered at once.
-    open = Optional.of(() -> {});
-    Cancellable subscription = call.subscribe().with(unused -> succeeded(), this::failed);
-    open = open.map(unanswered -> subscription);
+    boolean mustList = hasNoRevision() || !now.isBefore(nextList);
+    Uni<Void> call = mustList ? listOnce() : watchOnce();
+    // The call may complete during the subscription.
+    openCall = Optional.of(() -> {});
+    Cancellable subscription =
+        call.subscribe().with(unused -> handleSuccess(), this::handleFailure);
+    openCall = openCall.map(placeholder -> subscription);
   }
 
-  /** Reads anew if the store was restored; a call that waits since before would tell nothing. */
-  private void noteEpoch() {
+  /** Restarts with a list if the store was restored; an older call may never return changes. */
+  private void checkEpoch() {
     long newest = platform.epoch().newest();
     if (newest <= epoch) {
       return;
     }
     if (epoch != StoreEpoch.UNNAMED) {
-      believeMissing();
+      tolerateMissing();
     }
     epoch = newest;
     epochSince = clock.instant();
     if (!hasNoRevision() && revision.epoch() < newest) {
-      open.ifPresent(Cancellable::cancel);
-      open = Optional.empty();
-      readAnew();
+      openCall.ifPresent(Cancellable::cancel);
+      openCall = Optional.empty();
+      restartWithList();
     }
   }
 
-  private void readAnew() {
+  private void restartWithList() {
     revision = StoreRevision.NONE;
     nextCall = clock.instant();
   }
@@ -177,76 +178,76 @@
   }
 
   private boolean mayCall(Instant now) {
-    return failuresInRow < OUTAGE_FAILURES || probe.mayTry(now);
+    return consecutiveFailures < OUTAGE_FAILURES || outageProbe.acquireAttempt(now);
   }
 
-  /** Returns whether these kinds have been read, however long ago. */
+  /** Returns whether these kinds have been read at least once. */
   boolean hasRead() {
-    return read;
+    return hasBeenRead;
   }
 
-  /** Returns whether the platform was read lately and did not fail since. */
+  /** Returns whether this watch is reading and its last call to the platform succeeded. */
   boolean isHealthy() {
-    return owner.isReader() && !hasNoRevision() && failuresInRow == 0;
+    return owner.isReader() && !hasNoRevision() && consecutiveFailures == 0;
   }
 
-  /** Reads a list. */
+  /** Lists all objects of the kinds. */
   Uni<Void> listOnce() {
-    return platform.list(kinds).invoke(this::listed).replaceWithVoid();
+    return platform.list(kinds).invoke(this::handleList).replaceWithVoid();
   }
 
-  private void listed(Platform.Batch batch) {
+  private void handleList(Platform.Batch batch) {
     revision = batch.revision();
     if (hasNoRevision()) {
-      nextCall = clock.instant().plus(OutageProbe.PAUSE);
+      nextCall = clock.instant().plus(OutageProbe.RETRY_INTERVAL);
     }
-    read = true;
-    noteEpoch();
-    if (failuresInRow >= OUTAGE_FAILURES) {
-      believeMissing();
+    hasBeenRead = true;
+    checkEpoch();
+    if (consecutiveFailures >= OUTAGE_FAILURES) {
+      tolerateMissing();
     }
     List<StoredObject> all = new ArrayList<>(batch.objects());
     Instant now = clock.instant();
-    if (now.isBefore(believedUntil)) {
-      nextList = believedUntil;
+    if (now.isBefore(toleratesMissingUntil)) {
+      nextList = toleratesMissingUntil;
     } else {
       nextList = now.plus(LIST_INTERVAL);
-      all.addAll(vanished(batch));
-      all.addAll(confirmed(batch));
+      all.addAll(tombstonesOfMissing(batch));
+      all.addAll(confirmedUpstreams(batch));
     }
     owner.received(all, revision, Origin.LIST);
   }
 
   /**
-   * Believes entries that are missing to come back soon, as after an outage. One who reads instead
-   * of a reader has not seen the outage: without this it took all that had lapsed for gone.
+   * Expects missing entries to reappear soon, as after an outage. A substitute reader has not seen
+   * the outage itself; without this it would treat all expired entries as deleted.
    */
-  void believeMissing() {
-    believedUntil = clock.instant().plus(LAPSE_GRACE);
+  void tolerateMissing() {
+    toleratesMissingUntil = clock.instant().plus(EXPIRY_GRACE);
   }
 
   /** Returns tombstones for objects that the platform no longer lists. */
-  private List<StoredObject> vanished(Platform.Batch batch) {
+  private List<StoredObject> tombstonesOfMissing(Platform.Batch batch) {
     Set<ObjectKey> listed = new HashSet<>();
     batch.objects().forEach(object -> listed.add(object.key()));
-    List<StoredObject> gone = new ArrayList<>();
+    List<StoredObject> tombstones = new ArrayList<>();
     for (StoredObject known : owner.known().all()) {
-      if (isCovered(known, batch)
+      if (isExpectedIn(known, batch)
           && !listed.contains(known.key())
           && !Kinds.isTombstone(known.value())) {
         JsonNode tombstone = owner.known().tombstoneOf(known);
-        gone.add(StoredObject.of(known.key(), batch.revision(), tombstone));
+        tombstones.add(StoredObject.of(known.key(), batch.revision(), tombstone));
       }
     }
-    return gone;
+    return tombstones;
   }
 
   /**
-   * Returns the entries of upstreams of which something newer than a copy was known, and that the
-   * store still shows so long after the restore that whoever lives has written again. The store
-   * removes the others by itself, so these hold as they stand.
+   * Returns the upstream entries for which newer content than that of the restored copy was known,
+   * and which the store still has so long after the restore that every live upstream has written
+   * its entry again. The store expires the entries of the others, so these are valid as listed.
    */
-  private List<StoredObject> confirmed(Platform.Batch batch) {
+  private List<StoredObject> confirmedUpstreams(Platform.Batch batch) {
     if (clock.instant().isBefore(epochSince.plus(REWRITE_GRACE))) {
       return List.of();
     }
@@ -261,64 +262,66 @@
     return owner.known().get(object.key()).map(StoredObject::retained).orElse(false);
   }
 
-  /** Returns whether an object would stand in the list if the store still had it. */
-  private boolean isCovered(StoredObject known, Platform.Batch list) {
-    boolean lost = known.revision().epoch() < list.revision().epoch();
+  /** Returns whether the list would contain the object if the store still had it. */
+  private boolean isExpectedIn(StoredObject known, Platform.Batch list) {
+    boolean predatesRestore = known.revision().epoch() < list.revision().epoch();
     boolean upstream = known.key().kind().equals(Kinds.UPSTREAM);
-    Instant writtenAgain = epochSince.plus(upstream ? LAPSE_GRACE : REWRITE_GRACE);
-    boolean awaited = lost && clock.instant().isBefore(writtenAgain);
+    Instant rewriteDeadline = epochSince.plus(upstream ? EXPIRY_GRACE : REWRITE_GRACE);
+    boolean isAwaited = predatesRestore && clock.instant().isBefore(rewriteDeadline);
     return kinds.contains(known.key().kind())
         && !known.revision().isAfter(list.revision())
-        && !awaited;
+        && !isAwaited;
   }
 
   private Uni<Void> watchOnce() {
     Duration untilList = Duration.between(clock.instant(), nextList);
-    Duration longest =
-        owner.isFirstReader() ? longestWait : longestWait.multipliedBy(WAIT_FACTOR_BESIDE_FIRST);
-    Duration wait = untilList.compareTo(longest) < 0 ? untilList : longest;
-    return platform.watch(kinds, revision, wait).invoke(this::changed).replaceWithVoid();
+    Duration roleWait =
+        owner.isFirstReader() ? maximumWait : maximumWait.multipliedBy(SECONDARY_WAIT_FACTOR);
+    Duration wait = untilList.compareTo(roleWait) < 0 ? untilList : roleWait;
+    return platform.watch(kinds, revision, wait).invoke(this::handleChanges).replaceWithVoid();
   }
 
-  private void changed(Platform.Batch batch) {
+  private void handleChanges(Platform.Batch batch) {
     if (batch.revision().epoch() != revision.epoch()) {
-      // The revision was given out again: what was written below it since would be missed.
-      readAnew();
+      // The new epoch reuses revisions: changes below this one since the restore would be missed.
+      restartWithList();
       return;
     }
     revision = batch.revision();
     if (!batch.objects().isEmpty()) {
       nextCall =
-          clock.instant().plus(owner.isFirstReader() ? REST_AFTER_CHANGE : REST_BESIDE_FIRST);
+          clock
+              .instant()
+              .plus(owner.isFirstReader() ? DELAY_AFTER_CHANGE : SECONDARY_DELAY_AFTER_CHANGE);
     }
     owner.received(batch.objects(), revision, Origin.WATCH);
   }
 
-  private void succeeded() {
-    if (failuresInRow > 0) {
-      logger.atInfo().log("the platform answers again for %s", kinds);
+  private void handleSuccess() {
+    if (consecutiveFailures > 0) {
+      logger.atInfo().log("the platform is available again for %s", kinds);
     }
-    failuresInRow = 0;
-    probe.answered();
-    open = Optional.empty();
+    consecutiveFailures = 0;
+    outageProbe.recordSuccess();
+    openCall = Optional.empty();
   }
 
-  private void failed(Throwable failure) {
-    if (failuresInRow == 0) {
+  private void handleFailure(Throwable failure) {
+    if (consecutiveFailures == 0) {
       logger.atWarning().log(
-          "the platform fails for %s at revision %s: %s, cause: %s",
+          "reading %s from the platform failed at revision %s: %s, cause: %s",
           kinds, revision, failure.getMessage(), failure.getCause());
     }
     meters.count("retry.platform-watch");
-    probe.failed();
-    open = Optional.empty();
+    outageProbe.recordFailure();
+    openCall = Optional.empty();
     revision = StoreRevision.NONE;
-    failuresInRow++;
-    // At once after the first failure; in an outage the watches take turns, see OutageProbe.
-    boolean outage = failuresInRow >= OUTAGE_FAILURES;
-    nextCall = outage ? clock.instant().plus(OutageProbe.PAUSE) : clock.instant();
-    if (failuresInRow >= OUTAGE_FAILURES) {
-      owner.platformFails();
+    consecutiveFailures++;
+    // Retry at once after the first failure; in an outage the watches share one probe.
+    boolean outage = consecutiveFailures >= OUTAGE_FAILURES;
+    nextCall = outage ? clock.instant().plus(OutageProbe.RETRY_INTERVAL) : clock.instant();
+    if (consecutiveFailures >= OUTAGE_FAILURES) {
+      owner.onOutage();
     }
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/config/package-info.java
+++ b/org.oatlug/src/org/oatlug/internal/config/package-info.java
@@ -1,2 +1,2 @@
-/** The join of published objects and the compiled form of policies. */
+/** Merge and replication of published objects, and compiled policies. */
 package org.oatlug.internal.config;
