--- a/org.oatlug.test/tst/org/oatlug/internal/config/FleetStartTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/config/FleetStartTest.java
@@ -11,15 +11,13 @@
 import org.testng.annotations.Test;
 
 /**
- * What a start of all instances at once asks of the store.
+ * Tests the number of store calls when all instances start at once.
  *
- * <p>Symptom: some 20 calls an instance before the first request, two thirds of a quiet day's
- * calls. Sequence: all start at once and know nobody, so each takes itself for the reader of its
- * zone; upstreams register one after the other meanwhile, and each entry ends the watch of every
- * instance, which watches again. Cause: an instance that had not had the time to meet the others of
- * its zone watched the store like a reader.
+ * <p>Guards against some 20 calls per instance before the first request. Instances that start at
+ * once know no peers, so each considered itself the reader of its zone and watched the store. Every
+ * upstream that registered meanwhile completed the watches of all instances, which watched again.
  *
- * <p>Virtual time.
+ * <p>Runs in virtual time.
  */
 public class FleetStartTest {
   private static final int SEEDS = 3;
@@ -29,11 +27,11 @@
   private static final Duration START_WITHIN = Duration.ofMillis(300);
   private static final Duration BETWEEN_UPSTREAMS = Duration.ofMillis(30);
 
-  /** Shorter than the wait of a watch, so that watches which nothing ends count once. */
-  private static final Duration AFTERWARDS = Duration.ofSeconds(3);
+  /** Shorter than the wait of a watch, so that a watch without changes counts once. */
+  private static final Duration SETTLING_TIME = Duration.ofSeconds(3);
 
-  /** Each reads once; the readers of a zone, once they know that they are, read on. */
-  private static final int MOST_CALLS_PER_INSTANCE = 4;
+  /** Each instance reads once; the readers of a zone continue once they know their role. */
+  private static final int MAXIMUM_CALLS_PER_INSTANCE = 4;
 
   private static VirtualFleet started(int seed) {
     VirtualFleet fleet = VirtualFleet.starting(ZONES, INSTANCES_PER_ZONE, START_WITHIN, seed);
@@ -45,22 +43,24 @@
   }
 
   @Test
-  public void testStoreIsAskedFewTimesByEachInstanceThatStarts() {
+  public void testStartingInstancesMakeFewStoreCalls() {
     for (int seed = 1; seed <= SEEDS; seed++) {
       VirtualFleet fleet = started(seed);
-      fleet.run(AFTERWARDS);
-      int most = MOST_CALLS_PER_INSTANCE * ZONES * INSTANCES_PER_ZONE;
-      assertTrue(fleet.storeCalls() <= most, "calls " + fleet.storeCalls() + " seed " + seed);
+      fleet.run(SETTLING_TIME);
+      int maximumCalls = MAXIMUM_CALLS_PER_INSTANCE * ZONES * INSTANCES_PER_ZONE;
+      assertTrue(
+          fleet.storeCalls() <= maximumCalls, "calls " + fleet.storeCalls() + " seed " + seed);
     }
   }
 
   @Test
-  public void testAllKnowWhatWasWrittenWhileTheyStarted() {
+  public void testAllKnowObjectsWrittenDuringStart() {
     for (int seed = 1; seed <= SEEDS; seed++) {
       VirtualFleet fleet = started(seed);
-      fleet.run(AFTERWARDS);
+      fleet.run(SETTLING_TIME);
       for (int number = 0; number < UPSTREAMS; number++) {
-        assertEquals(fleet.whoMisses("i-" + number), List.of(), "i-" + number + " seed " + seed);
+        assertEquals(
+            fleet.instancesWithout("i-" + number), List.of(), "i-" + number + " seed " + seed);
       }
     }
   }
--- a/org.oatlug.test/tst/org/oatlug/internal/config/RestoredStoreFleetTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/config/RestoredStoreFleetTest.java
@@ -14,25 +14,25 @@
 import org.testng.annotations.Test;
 
 /**
- * Shows that a restore of the store from an older copy takes no instance back, and that what is
- * written after it is in force everywhere. Virtual time; {@code -Doatlug.seeds=N} plays more seeds.
+ * Tests that a restore of the store from an older copy reverts no instance, and that later writes
+ * are applied by all. Runs in virtual time; {@code -Doatlug.seeds=N} sets the number of seeds.
  */
 public class RestoredStoreFleetTest {
   private static final int SEEDS = Integer.getInteger("oatlug.seeds", 2);
   private static final Duration START = Duration.ofSeconds(6);
-  private static final Duration REST = Duration.ofMillis(700);
+  private static final Duration PAUSE = Duration.ofMillis(700);
 
-  /** The shortest bound that a deployment has for a configuration to be in force. */
+  /** The strictest bound of a deployment on the time until a configuration is applied. */
   private static final Duration BOUND = Duration.ofSeconds(2);
 
-  /** Twice the two seconds in which upstreams that live write their entries again. */
-  private static final Duration REWRITTEN = Duration.ofSeconds(4);
+  /** Twice the two seconds within which live upstreams write their entries again. */
+  private static final Duration REWRITE_TIME = Duration.ofSeconds(4);
 
-  /** Longer than any content of an earlier epoch is kept for a copy that lacks it. */
-  private static final Duration SETTLED = Duration.ofSeconds(40);
+  /** Longer than content of an earlier epoch is retained if the restored copy lacks it. */
+  private static final Duration SETTLING_TIME = Duration.ofSeconds(40);
 
-  /** Each of two readers a zone lists four kinds, twice, and watches them again. */
-  private static final int MOST_CALLS_OF_READER = 24;
+  /** Each of two readers per zone lists four kinds twice and watches them again. */
+  private static final int MAXIMUM_CALLS_PER_READER = 24;
 
   private static final int READERS_PER_ZONE = 2;
   private static final int WRITES = 60;
@@ -42,7 +42,7 @@
     return new Object[][] {{1, 7}, {3, 2}, {3, 20}, {5, 19}};
   }
 
-  /** Starts a fleet that has learned of writes after the copy. */
+  /** Starts a fleet with an upstream and a configuration. */
   private static VirtualFleet begin(int zones, int instancesPerZone, int seed) {
     VirtualFleet fleet = VirtualFleet.of(zones, instancesPerZone, seed, VirtualFleet.ALL_KINDS);
     fleet.register("i-1", false);
@@ -51,145 +51,145 @@
     return fleet;
   }
 
-  private static VirtualStore.Copy copyAndGoOn(VirtualFleet fleet) {
+  private static VirtualStore.Copy copyAndContinueWriting(VirtualFleet fleet) {
     final VirtualStore.Copy copy = fleet.store().copy();
     for (int write = 0; write < WRITES; write++) {
       fleet.register("i-1", false);
     }
     fleet.configure(7);
-    fleet.run(REST);
+    fleet.run(PAUSE);
     return copy;
   }
 
-  private static void assertInForce(VirtualFleet fleet, long version, String what) {
+  private static void assertApplied(VirtualFleet fleet, long version, String message) {
     assertEquals(
         List.copyOf(fleet.versions().values()).stream().distinct().toList(),
         List.of(version),
-        what);
-    assertEquals(fleet.reverts(), 0, what);
+        message);
+    assertEquals(fleet.reverts(), 0, message);
   }
 
   @Test(dataProvider = "sizes")
-  public void testConfigurationWrittenAfterRestoreIsInForceInTime(int zones, int perZone) {
+  public void testConfigurationWrittenAfterRestoreIsAppliedInTime(int zones, int perZone) {
     for (int seed = 1; seed <= SEEDS; seed++) {
       VirtualFleet fleet = begin(zones, perZone, seed);
-      final VirtualStore.Copy copy = copyAndGoOn(fleet);
+      final VirtualStore.Copy copy = copyAndContinueWriting(fleet);
       fleet.store().restore(copy);
-      fleet.run(fleet.within(REST));
+      fleet.run(fleet.randomDuration(PAUSE));
       fleet.configure(9);
       fleet.run(BOUND);
-      assertInForce(fleet, 9, "seed " + seed);
+      assertApplied(fleet, 9, "seed " + seed);
     }
   }
 
   @Test(dataProvider = "sizes")
-  public void testRestoreCostsFewCallsOfTheStore(int zones, int perZone) {
+  public void testRestoreTakesFewStoreCalls(int zones, int perZone) {
     VirtualFleet fleet = begin(zones, perZone, 1);
-    final VirtualStore.Copy copy = copyAndGoOn(fleet);
+    final VirtualStore.Copy copy = copyAndContinueWriting(fleet);
     final int before = fleet.storeCalls();
     fleet.store().restore(copy);
     fleet.run(Duration.ofSeconds(3));
     int calls = fleet.storeCalls() - before;
-    int most = zones * READERS_PER_ZONE * MOST_CALLS_OF_READER;
-    assertTrue(calls <= most, calls + " calls of at most " + most);
+    int maximumCalls = zones * READERS_PER_ZONE * MAXIMUM_CALLS_PER_READER;
+    assertTrue(calls <= maximumCalls, calls + " calls of at most " + maximumCalls);
   }
 
   @Test
-  public void testWatchWhoseRevisionExistsAgainMissesNothing() {
+  public void testWatchWithReusedRevisionMissesNoChange() {
     for (int seed = 1; seed <= SEEDS; seed++) {
       VirtualFleet fleet = begin(3, 4, seed);
-      final VirtualStore.Copy copy = copyAndGoOn(fleet);
+      final VirtualStore.Copy copy = copyAndContinueWriting(fleet);
       fleet.store().restoreKeepingWatches(copy);
       fleet.configure(9);
       for (int write = 0; write < 2 * WRITES; write++) {
         fleet.register("i-1", false);
       }
       fleet.run(BOUND);
-      assertInForce(fleet, 9, "seed " + seed);
+      assertApplied(fleet, 9, "seed " + seed);
     }
   }
 
   @Test
-  public void testWatchThatIsSilentSinceTheRestoreEndsWhenAnotherIsAnswered() {
+  public void testWatchSuspendedByRestoreEndsWhenAnotherIsAnswered() {
     for (int seed = 1; seed <= SEEDS; seed++) {
       VirtualFleet fleet = begin(3, 4, seed);
-      final VirtualStore.Copy copy = copyAndGoOn(fleet);
-      fleet.store().loseWatches(fleet.names(), GatewayKinds.ROUTING);
+      final VirtualStore.Copy copy = copyAndContinueWriting(fleet);
+      fleet.store().suspendWatches(fleet.names(), GatewayKinds.ROUTING);
       fleet.store().restoreKeepingWatches(copy);
       fleet.configure(9);
       fleet.run(BOUND);
-      assertInForce(fleet, 9, "seed " + seed);
+      assertApplied(fleet, 9, "seed " + seed);
     }
   }
 
   @Test
-  public void testReaderWhoseWatchesAreSilentLearnsOfTheRestoreFromOthers() {
+  public void testReaderWithSuspendedWatchesDetectsRestoreThroughPeers() {
     for (int seed = 1; seed <= SEEDS; seed++) {
       VirtualFleet fleet = begin(3, 4, seed);
-      final VirtualStore.Copy copy = copyAndGoOn(fleet);
+      final VirtualStore.Copy copy = copyAndContinueWriting(fleet);
       List<String> readers = fleet.readersOf("zone-1");
-      VirtualFleet.ALL_KINDS.forEach(kinds -> fleet.store().loseWatches(readers, kinds.get(0)));
+      VirtualFleet.ALL_KINDS.forEach(kinds -> fleet.store().suspendWatches(readers, kinds.get(0)));
       fleet.store().restore(copy);
-      fleet.run(REST);
-      fleet.cutOff("zone-1");
+      fleet.run(PAUSE);
+      fleet.partition("zone-1");
       fleet.configure(9);
       fleet.run(BOUND);
-      assertInForce(fleet, 9, "seed " + seed);
+      assertApplied(fleet, 9, "seed " + seed);
     }
   }
 
   @Test
-  public void testTwoRestoresInRowTakeNobodyBack() {
+  public void testTwoSuccessiveRestoresRevertNoInstance() {
     for (int seed = 1; seed <= SEEDS; seed++) {
       VirtualFleet fleet = begin(3, 4, seed);
-      final VirtualStore.Copy copy = copyAndGoOn(fleet);
+      final VirtualStore.Copy copy = copyAndContinueWriting(fleet);
       fleet.store().restore(copy);
-      fleet.run(fleet.within(REST));
+      fleet.run(fleet.randomDuration(PAUSE));
       fleet.configure(9);
-      fleet.run(fleet.within(REST));
+      fleet.run(fleet.randomDuration(PAUSE));
       fleet.store().restore(copy);
       fleet.configure(9);
       fleet.configure(11);
       fleet.run(BOUND);
-      assertInForce(fleet, 11, "seed " + seed);
+      assertApplied(fleet, 11, "seed " + seed);
     }
   }
 
   @Test
-  public void testZoneThatIsCutOffLearnsFromItsOwnReaders() {
+  public void testPartitionedZoneReceivesChangesFromItsReaders() {
     for (int seed = 1; seed <= SEEDS; seed++) {
       VirtualFleet fleet = begin(3, 4, seed);
-      final VirtualStore.Copy copy = copyAndGoOn(fleet);
-      fleet.cutOff("zone-1");
+      final VirtualStore.Copy copy = copyAndContinueWriting(fleet);
+      fleet.partition("zone-1");
       fleet.store().restore(copy);
       fleet.configure(9);
       fleet.run(BOUND);
-      assertInForce(fleet, 9, "seed " + seed);
-      fleet.heal();
-      fleet.run(SETTLED);
-      assertInForce(fleet, 9, "seed " + seed);
+      assertApplied(fleet, 9, "seed " + seed);
+      fleet.healPartitions();
+      fleet.run(SETTLING_TIME);
+      assertApplied(fleet, 9, "seed " + seed);
       assertEquals(fleet.digests(), 1, "seed " + seed);
     }
   }
 
   @Test
-  public void testInstancesThatReadersAreTurnedAwayOfLearnFromOthers() {
+  public void testZoneWithRefusedReadersReceivesChangesFromPeers() {
     for (int seed = 1; seed <= SEEDS; seed++) {
       VirtualFleet fleet = begin(3, 4, seed);
-      final VirtualStore.Copy copy = copyAndGoOn(fleet);
-      fleet.turnAway(fleet.readersOf("zone-1"));
+      final VirtualStore.Copy copy = copyAndContinueWriting(fleet);
+      fleet.refuseCalls(fleet.readersOf("zone-1"));
       fleet.store().restore(copy);
       fleet.configure(9);
       fleet.run(BOUND);
-      assertInForce(fleet, 9, "seed " + seed);
+      assertApplied(fleet, 9, "seed " + seed);
     }
   }
 
   @Test
-  public void testInstanceThatStartsOnTheCopyKnowsWhatOthersKnowBeforeItServes() {
+  public void testInstanceStartingAfterRestoreSynchronizesBeforeItServes() {
     for (int seed = 1; seed <= SEEDS; seed++) {
       VirtualFleet fleet = begin(3, 4, seed);
-      final VirtualStore.Copy copy = copyAndGoOn(fleet);
+      final VirtualStore.Copy copy = copyAndContinueWriting(fleet);
       fleet.store().restore(copy);
       String name = fleet.namesIn("zone-1").get(seed % 4);
       fleet.restart(name);
@@ -201,29 +201,29 @@
   }
 
   @Test
-  public void testAllThatStartWithoutAnybodyLeftServeTheCopySoon() {
+  public void testInstancesThatAllRestartServeTheCopySoon() {
     VirtualFleet fleet = begin(3, 4, 1);
-    final VirtualStore.Copy copy = copyAndGoOn(fleet);
+    final VirtualStore.Copy copy = copyAndContinueWriting(fleet);
     fleet.store().restore(copy);
     fleet.names().forEach(fleet::restart);
     fleet.run(Duration.ofSeconds(1));
     for (String name : fleet.names()) {
       assertTrue(fleet.serves(name), name);
     }
-    assertInForce(fleet, 5, "the copy is all there is");
+    assertApplied(fleet, 5, "the copy is all there is");
   }
 
   @Test
-  public void testUpstreamThatSaidItLeavesStaysExcludedOnTheCopy() {
+  public void testLeavingUpstreamStaysExcludedAfterRestore() {
     for (int seed = 1; seed <= SEEDS; seed++) {
       VirtualFleet fleet = begin(3, 4, seed);
       fleet.register("i-2", false);
       fleet.register("i-3", false);
-      fleet.run(REST);
-      final VirtualStore.Copy copy = copyAndGoOn(fleet);
+      fleet.run(PAUSE);
+      final VirtualStore.Copy copy = copyAndContinueWriting(fleet);
       fleet.register("i-2", true);
       fleet.remove("i-3");
-      fleet.run(REST);
+      fleet.run(PAUSE);
       fleet.store().restore(copy);
       fleet.run(BOUND);
       for (String instance : fleet.names()) {
@@ -232,63 +232,63 @@
       }
       fleet.register("i-3", false);
       fleet.run(BOUND);
-      assertEquals(fleet.whoMisses("i-3"), List.of(), "seed " + seed);
+      assertEquals(fleet.instancesWithout("i-3"), List.of(), "seed " + seed);
     }
   }
 
   @Test
-  public void testUpstreamThatTheStoreGoesOnToShowIsUsedAgain() {
+  public void testUpstreamThatRemainsInRestoredStoreIsUsedAgain() {
     VirtualFleet fleet = begin(3, 4, 1);
     fleet.register("i-2", false);
-    fleet.run(REST);
-    final VirtualStore.Copy copy = copyAndGoOn(fleet);
-    fleet.lapse("i-2");
-    fleet.run(REST);
+    fleet.run(PAUSE);
+    final VirtualStore.Copy copy = copyAndContinueWriting(fleet);
+    fleet.expireEntry("i-2");
+    fleet.run(PAUSE);
     fleet.store().restore(copy);
     fleet.run(BOUND);
-    assertEquals(fleet.whoMisses("i-2"), fleet.names());
-    fleet.run(SETTLED);
-    assertEquals(fleet.whoMisses("i-2"), List.of());
+    assertEquals(fleet.instancesWithout("i-2"), fleet.names());
+    fleet.run(SETTLING_TIME);
+    assertEquals(fleet.instancesWithout("i-2"), List.of());
   }
 
   @Test
-  public void testUpstreamThatTheCopyLacksIsUsedUntilItHadTimeToWriteAgain() {
+  public void testUpstreamMissingFromCopyIsUsedUntilRewriteTimeEnds() {
     VirtualFleet fleet = begin(3, 4, 1);
-    final VirtualStore.Copy copy = copyAndGoOn(fleet);
+    final VirtualStore.Copy copy = copyAndContinueWriting(fleet);
     fleet.register("i-2", false);
     fleet.register("i-3", false);
-    fleet.run(REST);
+    fleet.run(PAUSE);
     fleet.store().restore(copy);
-    fleet.run(REST);
-    assertEquals(fleet.whoMisses("i-2"), List.of());
+    fleet.run(PAUSE);
+    assertEquals(fleet.instancesWithout("i-2"), List.of());
     fleet.register("i-2", false);
-    fleet.run(REWRITTEN);
-    assertEquals(fleet.whoMisses("i-2"), List.of());
-    assertEquals(fleet.whoMisses("i-3"), fleet.names());
+    fleet.run(REWRITE_TIME);
+    assertEquals(fleet.instancesWithout("i-2"), List.of());
+    assertEquals(fleet.instancesWithout("i-3"), fleet.names());
   }
 
   @Test
-  public void testEvacuationThatTheCopyLacksGoesOnAndOneThatEndedEndsAgain() {
+  public void testEvacuationMissingFromCopyContinuesAndEndedOneEndsAgain() {
     VirtualFleet fleet = begin(3, 4, 1);
-    fleet.empty("zone-1");
-    fleet.run(REST);
-    final VirtualStore.Copy copy = copyAndGoOn(fleet);
-    fleet.empty("zone-0");
-    fleet.takeZoneBack("zone-1");
-    fleet.run(REST);
+    fleet.evacuate("zone-1");
+    fleet.run(PAUSE);
+    final VirtualStore.Copy copy = copyAndContinueWriting(fleet);
+    fleet.evacuate("zone-0");
+    fleet.endEvacuation("zone-1");
+    fleet.run(PAUSE);
     fleet.store().restore(copy);
     fleet.run(BOUND);
-    assertEquals(fleet.whoKeepsEmpty("zone-0"), fleet.names());
-    fleet.empty("zone-0");
-    fleet.takeZoneBack("zone-1");
-    fleet.run(SETTLED);
-    assertEquals(fleet.whoKeepsEmpty("zone-0"), fleet.names());
-    assertEquals(fleet.whoKeepsEmpty("zone-1"), List.of());
+    assertEquals(fleet.instancesEvacuating("zone-0"), fleet.names());
+    fleet.evacuate("zone-0");
+    fleet.endEvacuation("zone-1");
+    fleet.run(SETTLING_TIME);
+    assertEquals(fleet.instancesEvacuating("zone-0"), fleet.names());
+    assertEquals(fleet.instancesEvacuating("zone-1"), List.of());
   }
 
-  /** Any order of writes, copies, restores, cuts, refusals and starts ends at what stands. */
+  /** Random sequences of writes, copies, restores, partitions, refusals and restarts. */
   @Test
-  public void testAnyOrderOfEventsEndsAtWhatTheStoreHolds() {
+  public void testAnyOrderOfEventsConvergesToTheStore() {
     for (int seed = 1; seed <= 5 * SEEDS; seed++) {
       Random random = new Random(seed);
       VirtualFleet fleet = begin(3, 3, seed);
@@ -301,23 +301,23 @@
           case 4 -> copy = fleet.store().copy();
           case 5 -> {
             fleet.store().restore(copy);
-            fleet.run(fleet.within(Duration.ofMillis(300)));
+            fleet.run(fleet.randomDuration(Duration.ofMillis(300)));
             fleet.configure(version);
           }
-          case 6 -> fleet.cutOff("zone-" + random.nextInt(3));
-          case 7 -> fleet.turnAway(fleet.readersOf("zone-" + random.nextInt(3)));
+          case 6 -> fleet.partition("zone-" + random.nextInt(3));
+          case 7 -> fleet.refuseCalls(fleet.readersOf("zone-" + random.nextInt(3)));
           default -> fleet.restart(fleet.names().get(random.nextInt(9)));
         }
-        fleet.run(fleet.within(REST));
+        fleet.run(fleet.randomDuration(PAUSE));
         if (random.nextInt(3) == 0) {
-          fleet.heal();
-          fleet.takeBack();
+          fleet.healPartitions();
+          fleet.endRefusals();
         }
       }
-      fleet.heal();
-      fleet.takeBack();
-      fleet.run(SETTLED);
-      assertInForce(fleet, version, "seed " + seed);
+      fleet.healPartitions();
+      fleet.endRefusals();
+      fleet.run(SETTLING_TIME);
+      assertApplied(fleet, version, "seed " + seed);
       assertEquals(fleet.digests(), 1, "seed " + seed);
     }
   }
--- a/org.oatlug.test/tst/org/oatlug/internal/config/StoreOutageTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/config/StoreOutageTest.java
@@ -10,12 +10,13 @@
 import org.testng.annotations.Test;
 
 /**
- * What an outage asks of the store, and how soon its end is known.
+ * Tests the number of store calls during an outage, and how soon its end is detected.
  *
- * <p>Load pattern: the store turns all instances away for ten seconds while its readers watch four
- * kinds. Each watch tried on its own each half second: 486 calls of six readers, and 216 now.
+ * <p>The store refuses all instances for ten seconds while its readers watch four kinds. Guards
+ * against each watch retrying on its own every half second, which took 486 calls of six readers
+ * instead of 216.
  *
- * <p>Virtual time.
+ * <p>Runs in virtual time.
  */
 public class StoreOutageTest {
   private static final int SEEDS = 2;
@@ -23,35 +24,35 @@
   private static final int INSTANCES_PER_ZONE = 20;
   private static final Duration START = Duration.ofSeconds(6);
   private static final Duration OUTAGE = Duration.ofSeconds(10);
-  private static final Duration KNOWN_AFTER = Duration.ofMillis(1500);
+  private static final Duration DETECTION_TIME = Duration.ofMillis(1500);
 
-  /** Two readers a zone try twice a second, and those whom they ask to read instead once. */
-  private static final int MOST_CALLS = 250;
+  /** Two readers per zone retry twice a second; each requested substitute calls once. */
+  private static final int MAXIMUM_CALLS = 250;
 
   @Test
-  public void testOutageIsTriedByOneWatchForAll() {
+  public void testOneWatchProbesOutageForAll() {
     for (int seed = 1; seed <= SEEDS; seed++) {
       VirtualFleet fleet = VirtualFleet.of(ZONES, INSTANCES_PER_ZONE, seed, VirtualFleet.ALL_KINDS);
       fleet.run(START);
-      fleet.turnAway(fleet.names());
+      fleet.refuseCalls(fleet.names());
       final int before = fleet.storeCalls();
       fleet.run(OUTAGE);
       int calls = fleet.storeCalls() - before;
-      assertTrue(calls <= MOST_CALLS, "calls " + calls + " seed " + seed);
+      assertTrue(calls <= MAXIMUM_CALLS, "calls " + calls + " seed " + seed);
     }
   }
 
   @Test
-  public void testWhatChangedInAnOutageIsKnownSoonAfterIt() {
+  public void testChangeDuringOutageIsAppliedSoonAfterwards() {
     for (int seed = 1; seed <= SEEDS; seed++) {
       VirtualFleet fleet = VirtualFleet.of(ZONES, INSTANCES_PER_ZONE, seed, VirtualFleet.ALL_KINDS);
       fleet.run(START);
-      fleet.turnAway(fleet.names());
+      fleet.refuseCalls(fleet.names());
       fleet.run(OUTAGE);
-      fleet.empty("zone-0");
-      fleet.takeBack();
-      fleet.run(KNOWN_AFTER);
-      assertEquals(fleet.whoKeepsEmpty("zone-0"), fleet.names(), "seed " + seed);
+      fleet.evacuate("zone-0");
+      fleet.endRefusals();
+      fleet.run(DETECTION_TIME);
+      assertEquals(fleet.instancesEvacuating("zone-0"), fleet.names(), "seed " + seed);
     }
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/internal/config/VirtualFleet.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/config/VirtualFleet.java
@@ -42,26 +42,27 @@
 import org.oatlug.test.VirtualTime;
 
 /**
- * Instances of some availability zones, their store and the ways between them in virtual time.
+ * Simulates instances of several availability zones, their store and the network in virtual time.
  *
- * <p>Runs the real membership and configuration systems; a message takes some milliseconds, drawn
- * from the seed. Instances may be silent (stopped without anybody knowing), turned away by the
- * store, and zones cut off from each other; see {@link VirtualStore}. Used from one thread.
+ * <p>Runs the real membership and configuration systems; the latency of a message is a few
+ * milliseconds, drawn from the seed. Instances may be unresponsive (stopped without notice) or
+ * refused by the store, and zones may be partitioned; see {@link VirtualStore}. Used from one
+ * thread.
  */
 final class VirtualFleet {
-  /** How often an instance looks whether something is due. */
+  /** Interval at which an instance checks for due work. */
   private static final Duration TICK = Duration.ofMillis(100);
 
   private static final Duration LIST_TIME = Duration.ofMillis(4);
   private static final Duration CALL_TIME = Duration.ofSeconds(1);
-  private static final int MOST_DELAY_MILLIS = 6;
+  private static final int MAXIMUM_DELAY_MILLIS = 6;
 
-  /** How many instances a starting one is told of. */
+  /** Number of seed instances known to a starting instance. */
   private static final int SEEDS = 3;
 
   private static final List<List<String>> UPSTREAMS = List.of(List.of(GatewayKinds.UPSTREAM));
 
-  /** A watch for each kind that routed services read. */
+  /** A watch for each kind that routed services use. */
   static final List<List<String>> ALL_KINDS =
       List.of(
           List.of(GatewayKinds.ROUTING),
@@ -75,10 +76,10 @@
   private final Map<String, Instance> instances = new TreeMap<>();
   private final Map<Integer, Instance> byPort = new TreeMap<>();
   private final VirtualStore store = new VirtualStore();
-  private final Set<String> silent = new HashSet<>();
-  private final Set<String> turnedAway = new HashSet<>();
-  private final Set<String> cutZones = new HashSet<>();
-  private final Map<String, Instant> acknowledged = new TreeMap<>();
+  private final Set<String> unresponsive = new HashSet<>();
+  private final Set<String> refused = new HashSet<>();
+  private final Set<String> partitionedZones = new HashSet<>();
+  private final Map<String, Instant> writtenAt = new TreeMap<>();
   private Duration refusalTime = LIST_TIME;
   private int storeCalls;
   private int reverts;
@@ -89,45 +90,45 @@
     this.watchGroups = watchGroups;
   }
 
-  /** One instance. */
+  /** Instance with its view of the platform and the peers. */
   private final class Instance implements Platform, PeerNetwork {
     private final GatewayTables tables = GatewayTables.create(time);
-    private final Map<String, Instant> learned = new TreeMap<>();
-    private final StoreEpoch epochHeard = StoreEpoch.create();
+    private final Map<String, Instant> excludedAt = new TreeMap<>();
+    private final StoreEpoch knownEpoch = StoreEpoch.create();
     private long version;
     private boolean stopped;
     private final Membership membership;
     private final ConfigurationSystem configuration;
 
     Instance(Member self) {
-      Random own = new Random(random.nextLong());
-      membership = Membership.create(self, time, own);
+      Random ownRandom = new Random(random.nextLong());
+      membership = Membership.create(self, time, ownRandom);
       membership.connect(this);
       Meters meters = Meters.of(new MetricRegistry());
       configuration =
           ConfigurationSystem.create(
-              new Noted(),
+              new RecordingSink(),
               Freshness.withBound(Duration.ofSeconds(12)),
               this,
               membership,
               this,
-              new ConfigurationSystem.Support(time, own, meters, watchGroups));
+              new ConfigurationSystem.Support(time, ownRandom, meters, watchGroups));
     }
 
-    /** The tables, with the moment at which an upstream was first known to leave. */
-    private final class Noted implements ObjectSink {
+    /** Records when the tables first exclude an upstream or evacuate a zone. */
+    private final class RecordingSink implements ObjectSink {
       @Override
       public List<StoredObject> mergeAll(List<StoredObject> objects, Origin origin) {
-        List<StoredObject> fresh = tables.mergeAll(objects, origin);
-        noteVersion();
-        for (StoredObject object : fresh) {
+        List<StoredObject> updated = tables.mergeAll(objects, origin);
+        recordVersion();
+        for (StoredObject object : updated) {
           String name = object.key().name();
           boolean upstream = object.key().kind().equals(GatewayKinds.UPSTREAM);
           if (upstream ? tables.isLeaving(name) : tables.emptiedZones().contains(name)) {
-            learned.putIfAbsent(name, time.instant());
+            excludedAt.putIfAbsent(name, time.instant());
           }
         }
-        return fresh;
+        return updated;
       }
 
       @Override
@@ -136,10 +137,10 @@
       }
     }
 
-    private void noteVersion() {
-      long inForce = tables.configuration().map(RoutingConfiguration::version).orElse(0L);
-      reverts += inForce < version ? 1 : 0;
-      version = inForce;
+    private void recordVersion() {
+      long applied = tables.configuration().map(RoutingConfiguration::version).orElse(0L);
+      reverts += applied < version ? 1 : 0;
+      version = applied;
     }
 
     private String name() {
@@ -150,7 +151,7 @@
       if (stopped) {
         return;
       }
-      if (!silent.contains(name())) {
+      if (!unresponsive.contains(name())) {
         membership.tick();
         configuration.tick();
       }
@@ -158,29 +159,34 @@
     }
 
     @Override
-    public Uni<PeerMessage> ask(Member peer, PeerMessage message, Duration patience) {
-      // A seed is asked by its address; its name is not known before it answers.
+    public Uni<PeerMessage> ask(Member peer, PeerMessage message, Duration timeout) {
+      // A seed is addressed by its port, as its name is unknown until it responds.
       Instance target = instances.getOrDefault(peer.name(), byPort.get(peer.peerPort()));
       return Uni.createFrom()
           .emitter(
               emitter -> {
-                after(patience, () -> emitter.fail(new PeerUnavailableException(peer.name())));
-                if (reaches(target) && !stopped) {
+                after(timeout, () -> emitter.fail(new PeerUnavailableException(peer.name())));
+                if (canReach(target) && !stopped) {
                   after(delay(), () -> target.receive(this, message, emitter));
                 }
               });
     }
 
-    private boolean reaches(Instance target) {
-      String own = membership.self().zone();
-      String other = target.membership.self().zone();
-      boolean cut = !own.equals(other) && (cutZones.contains(own) || cutZones.contains(other));
-      return !cut && !target.stopped && !silent.contains(name()) && !silent.contains(target.name());
+    private boolean canReach(Instance target) {
+      String ownZone = membership.self().zone();
+      String targetZone = target.membership.self().zone();
+      boolean partitioned =
+          !ownZone.equals(targetZone)
+              && (partitionedZones.contains(ownZone) || partitionedZones.contains(targetZone));
+      return !partitioned
+          && !target.stopped
+          && !unresponsive.contains(name())
+          && !unresponsive.contains(target.name());
     }
 
     private void receive(
         Instance from, PeerMessage message, UniEmitter<? super PeerMessage> emitter) {
-      if (silent.contains(name())) {
+      if (unresponsive.contains(name())) {
         return;
       }
       boolean probe = message instanceof PeerMessage.Ping || message instanceof PeerMessage.PingFor;
@@ -202,12 +208,12 @@
                 storeCalls++;
                 Runnable answer = effect.apply(emitter);
                 after(
-                    turnedAway.contains(name()) ? refusalTime : LIST_TIME,
+                    refused.contains(name()) ? refusalTime : LIST_TIME,
                     () -> {
-                      if (turnedAway.contains(name())) {
+                      if (refused.contains(name())) {
                         emitter.fail(new PlatformUnavailableException("turned away", null));
                       } else {
-                        epochHeard.note(store.now().epoch());
+                        knownEpoch.advanceTo(store.now().epoch());
                         answer.run();
                       }
                     });
@@ -228,10 +234,10 @@
         List<String> kinds, long since, Duration wait, UniEmitter<? super Batch> emitter) {
       Runnable answer =
           () -> {
-            if (turnedAway.contains(name())) {
+            if (refused.contains(name())) {
               emitter.fail(new PlatformUnavailableException("turned away", null));
             } else {
-              epochHeard.note(store.now().epoch());
+              knownEpoch.advanceTo(store.now().epoch());
               emitter.complete(store.changesAfter(kinds, since));
             }
           };
@@ -243,7 +249,7 @@
         answer.run();
         return;
       }
-      store.hold(new VirtualStore.Watch(name(), kinds, () -> after(delay(), answer)));
+      store.keepOpen(new VirtualStore.Watch(name(), kinds, () -> after(delay(), answer)));
       after(wait, answer);
     }
 
@@ -254,7 +260,7 @@
 
     @Override
     public StoreEpoch epoch() {
-      return epochHeard;
+      return knownEpoch;
     }
 
     @Override
@@ -268,25 +274,25 @@
     }
   }
 
-  /** Starts instances that know each other and watch the upstreams. */
+  /** Starts instances that know each other and watch upstreams. */
   static VirtualFleet of(int zones, int instancesPerZone, long seed) {
     return of(zones, instancesPerZone, seed, UPSTREAMS);
   }
 
-  /** Starts instances that know each other and watch groups of kinds. */
+  /** Starts instances that know each other and watch the given groups of kinds. */
   static VirtualFleet of(
       int zones, int instancesPerZone, long seed, List<List<String>> watchGroups) {
     VirtualFleet fleet = new VirtualFleet(seed, watchGroups);
     List<Member> members = fleet.createInstances(zones, instancesPerZone);
     for (Instance instance : fleet.instances.values()) {
       members.forEach(instance.membership::merge);
-      fleet.after(fleet.within(TICK), instance::tick);
+      fleet.after(fleet.randomDuration(TICK), instance::tick);
     }
     return fleet;
   }
 
-  /** Starts all instances within the time; each knows a few seeds and nobody else. */
-  static VirtualFleet starting(int zones, int instancesPerZone, Duration within, long seed) {
+  /** Starts all instances within the window; each initially knows only a few seeds. */
+  static VirtualFleet starting(int zones, int instancesPerZone, Duration startWindow, long seed) {
     VirtualFleet fleet = new VirtualFleet(seed, UPSTREAMS);
     List<Member> members = fleet.createInstances(zones, instancesPerZone);
     List<Settings.Address> seeds =
@@ -297,7 +303,7 @@
             .toList();
     for (Instance instance : fleet.instances.values()) {
       instance.membership.seeds(seeds);
-      fleet.after(fleet.within(within), instance::tick);
+      fleet.after(fleet.randomDuration(startWindow), instance::tick);
     }
     return fleet;
   }
@@ -320,13 +326,13 @@
     return members;
   }
 
-  /** Returns how many calls the store got from all instances. */
+  /** Returns the number of store calls of all instances. */
   int storeCalls() {
     return storeCalls;
   }
 
-  /** Returns the names of the instances that do not know of an upstream that lives. */
-  List<String> whoMisses(String upstream) {
+  /** Returns the names of the instances that do not know a live upstream. */
+  List<String> instancesWithout(String upstream) {
     return instances.values().stream()
         .filter(instance -> instance.tables.upstream(upstream).isEmpty())
         .map(Instance::name)
@@ -334,19 +340,19 @@
   }
 
   private Duration delay() {
-    return Duration.ofMillis(1 + random.nextInt(MOST_DELAY_MILLIS));
+    return Duration.ofMillis(1 + random.nextInt(MAXIMUM_DELAY_MILLIS));
   }
 
-  /** Returns a time up to {@code longest}. */
-  Duration within(Duration longest) {
-    return Duration.ofMillis(random.nextInt((int) longest.toMillis()));
+  /** Returns a random duration below {@code maximum}. */
+  Duration randomDuration(Duration maximum) {
+    return Duration.ofMillis(random.nextInt((int) maximum.toMillis()));
   }
 
   private void after(Duration wait, Runnable action) {
     time.after(wait, action);
   }
 
-  /** Lets the time pass. */
+  /** Advances the virtual time. */
   void run(Duration duration) {
     time.run(duration);
   }
@@ -364,26 +370,26 @@
     store.change(key, Json.STRICT.valueToTree(configuration));
   }
 
-  /** Returns by instance the version of the configuration that is in force. */
+  /** Returns by instance the version of the applied configuration. */
   Map<String, Long> versions() {
     Map<String, Long> versions = new TreeMap<>();
     instances.forEach((name, instance) -> versions.put(name, instance.version));
     return versions;
   }
 
-  /** Returns how often an instance went back to an older configuration. */
+  /** Returns how often an instance reverted to an older configuration. */
   int reverts() {
     return reverts;
   }
 
-  /** Returns by instance what it knows of an upstream. */
+  /** Returns by instance the known entry of an upstream. */
   Map<String, Optional<UpstreamRecord>> knownOf(String upstream) {
     Map<String, Optional<UpstreamRecord>> known = new TreeMap<>();
     instances.forEach((name, instance) -> known.put(name, instance.tables.upstream(upstream)));
     return known;
   }
 
-  /** Returns how many digests over all objects the instances have; one if they agree. */
+  /** Returns the number of distinct digests over all objects; one if the instances agree. */
   long digests() {
     return instances.values().stream()
         .mapToLong(instance -> instance.tables.join().digest())
@@ -391,7 +397,7 @@
         .count();
   }
 
-  /** Starts an instance anew, which knows nothing but addresses of others. */
+  /** Restarts an instance, which then knows only the addresses of the others. */
   void restart(String name) {
     Instance before = instances.get(name);
     before.stopped = true;
@@ -407,15 +413,15 @@
     after.tick();
   }
 
-  /** Returns whether an instance would serve. */
+  /** Returns whether an instance would serve requests. */
   boolean serves(String name) {
     ConfigurationSystem configuration = instances.get(name).configuration;
     return configuration.hasReadAll() && configuration.isInSync();
   }
 
-  /** Lets the zones reach each other again. */
-  void heal() {
-    cutZones.clear();
+  /** Ends all partitions between zones. */
+  void healPartitions() {
+    partitionedZones.clear();
   }
 
   /** Writes the entry of an upstream. */
@@ -425,34 +431,34 @@
         UpstreamRecord.of("pool", "127.0.0.1", 1, "zone-0", "v1", 4, leaving)
             .withSequence(sequence);
     if (leaving) {
-      acknowledged.put(upstream, time.instant());
+      writtenAt.put(upstream, time.instant());
     }
     store.change(
         ObjectKey.valueOf(GatewayKinds.UPSTREAM, upstream), Json.STRICT.valueToTree(entry));
   }
 
-  /** Writes the order to empty a zone. */
-  void empty(String zone) {
-    acknowledged.put(zone, time.instant());
+  /** Writes the evacuation of a zone. */
+  void evacuate(String zone) {
+    writtenAt.put(zone, time.instant());
     store.change(ObjectKey.valueOf(GatewayKinds.EVACUATION, zone), Json.STRICT.createObjectNode());
   }
 
-  /** Takes the order to empty a zone back. */
-  void takeZoneBack(String zone) {
+  /** Deletes the evacuation of a zone. */
+  void endEvacuation(String zone) {
     store.change(ObjectKey.valueOf(GatewayKinds.EVACUATION, zone), Kinds.tombstone());
   }
 
-  /** Returns the instances that send nothing to the upstreams of a zone. */
-  List<String> whoKeepsEmpty(String zone) {
+  /** Returns the instances that treat a zone as evacuated. */
+  List<String> instancesEvacuating(String zone) {
     return instances.values().stream()
         .filter(instance -> instance.tables.emptiedZones().contains(zone))
         .map(Instance::name)
         .toList();
   }
 
-  /** Removes the entry of an upstream that never said that it leaves. */
+  /** Removes the entry of an upstream that did not announce its departure. */
   void remove(String upstream) {
-    acknowledged.put(upstream, time.instant());
+    writtenAt.put(upstream, time.instant());
     deleteEntry(upstream);
   }
 
@@ -475,31 +481,31 @@
         .toList();
   }
 
-  /** Lets the store turn instances away from now on; watches that wait are cut. */
-  void turnAway(List<String> names) {
-    turnedAway.addAll(names);
+  /** Makes the store refuse calls of instances from now on; open watches fail. */
+  void refuseCalls(List<String> names) {
+    refused.addAll(names);
     store.answerWatches();
   }
 
-  /** Lets the store keep those whom it turns away waiting until they give up, for a second. */
-  void refuseSilently() {
+  /** Makes the store delay each refusal by one second, the timeout of a call. */
+  void delayRefusals() {
     refusalTime = CALL_TIME;
   }
 
-  /** Lets the store answer all instances again. */
-  void takeBack() {
-    turnedAway.clear();
+  /** Makes the store accept calls of all instances again. */
+  void endRefusals() {
+    refused.clear();
   }
 
-  /** Removes the entry of an upstream that lives, as when it cannot write for too long. */
-  void lapse(String upstream) {
+  /** Removes the entry of a live upstream, as when it cannot renew the entry in time. */
+  void expireEntry(String upstream) {
     deleteEntry(upstream);
   }
 
-  /** Returns the instances that ever took the upstream to leave or to be gone. */
-  List<String> whoGaveUp(String upstream) {
+  /** Returns the instances that ever treated the upstream as leaving or removed. */
+  List<String> instancesThatExcluded(String upstream) {
     return instances.values().stream()
-        .filter(instance -> instance.learned.containsKey(upstream))
+        .filter(instance -> instance.excludedAt.containsKey(upstream))
         .map(Instance::name)
         .toList();
   }
@@ -509,24 +515,24 @@
     return List.copyOf(instances.keySet());
   }
 
-  /** Stops instances; nobody is told. */
-  void silence(List<String> names) {
-    silent.addAll(names);
+  /** Makes instances unresponsive without notice to the others. */
+  void makeUnresponsive(List<String> names) {
+    unresponsive.addAll(names);
   }
 
-  /** Cuts a zone off from the others. */
-  void cutOff(String zone) {
-    cutZones.add(zone);
+  /** Partitions a zone from the others. */
+  void partition(String zone) {
+    partitionedZones.add(zone);
   }
 
-  /** Returns by instance how long after the store it knew that the upstream leaves. */
-  Map<String, Duration> delaysOf(String upstream) {
+  /** Returns by instance the time from the write to the store until the instance applied it. */
+  Map<String, Duration> propagationDelays(String upstream) {
     Map<String, Duration> delays = new TreeMap<>();
     for (Instance instance : instances.values()) {
-      if (!silent.contains(instance.name())) {
-        Instant when =
-            instance.learned.getOrDefault(upstream, time.instant().plus(Duration.ofHours(1)));
-        delays.put(instance.name(), Duration.between(acknowledged.get(upstream), when));
+      if (!unresponsive.contains(instance.name())) {
+        Instant appliedAt =
+            instance.excludedAt.getOrDefault(upstream, time.instant().plus(Duration.ofHours(1)));
+        delays.put(instance.name(), Duration.between(writtenAt.get(upstream), appliedAt));
       }
     }
     return delays;
--- a/org.oatlug.test/tst/org/oatlug/internal/config/VirtualStore.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/config/VirtualStore.java
@@ -16,8 +16,8 @@
 import org.oatlug.platform.StoredObject;
 
 /**
- * The store of a {@link VirtualFleet}: objects, their history, watches that wait, and restores from
- * a copy. Used from one thread.
+ * Simulates the store of a {@link VirtualFleet}: objects, their history, open watches, and restores
+ * from a copy. Used from one thread.
  */
 final class VirtualStore {
   private final Map<ObjectKey, StoredObject> stored = new TreeMap<>();
@@ -26,36 +26,36 @@
   private long revision;
   private long epoch = 1;
 
-  /** What the store held at some moment. */
+  /** Snapshot of the store. */
   record Copy(Map<ObjectKey, StoredObject> stored, List<StoredObject> history, long revision) {}
 
-  /** A watch of an instance that waits for a change. */
+  /** Open watch of an instance. */
   record Watch(String instance, List<String> kinds, Runnable answer) {}
 
-  /** Returns the present revision. */
+  /** Returns the current revision. */
   StoreRevision now() {
     return new StoreRevision(epoch, revision);
   }
 
-  /** Returns an object as it was written. */
+  /** Returns an object as it was last written. */
   StoredObject get(ObjectKey key) {
     return stored.get(key);
   }
 
   /** Returns all objects of some kinds. */
   Platform.Batch list(List<String> kinds) {
-    return new Platform.Batch(now(), shown(kinds, stored.values()));
+    return new Platform.Batch(now(), inCurrentEpoch(kinds, stored.values()));
   }
 
-  /** Returns what changed of some kinds since a number of this epoch. */
+  /** Returns the changes of some kinds after a revision number of this epoch. */
   Platform.Batch changesAfter(List<String> kinds, long since) {
     List<StoredObject> changes =
         history.stream().filter(change -> change.revision().number() > since).toList();
-    return new Platform.Batch(now(), shown(kinds, changes));
+    return new Platform.Batch(now(), inCurrentEpoch(kinds, changes));
   }
 
-  /** Returns objects of some kinds as the store shows them in its present epoch. */
-  private List<StoredObject> shown(List<String> kinds, Collection<StoredObject> objects) {
+  /** Returns the objects of some kinds with their revisions in the current epoch. */
+  private List<StoredObject> inCurrentEpoch(List<String> kinds, Collection<StoredObject> objects) {
     return objects.stream()
         .filter(object -> kinds.contains(object.key().kind()))
         .map(
@@ -67,20 +67,20 @@
         .toList();
   }
 
-  /** Lets a watch wait for the next change. */
-  void hold(Watch watch) {
+  /** Keeps a watch open until the next change. */
+  void keepOpen(Watch watch) {
     watches.add(watch);
   }
 
-  /** Answers all watches that wait. */
+  /** Answers all open watches. */
   void answerWatches() {
     List<Watch> waiting = List.copyOf(watches);
     watches.clear();
     waiting.forEach(watch -> watch.answer().run());
   }
 
-  /** Lets the watches of a kind, of some instances, wait until they end, whatever changes. */
-  void loseWatches(List<String> instances, String kind) {
+  /** Lets open watches of a kind, of some instances, time out regardless of changes. */
+  void suspendWatches(List<String> instances, String kind) {
     watches.removeIf(watch -> instances.contains(watch.instance()) && watch.kinds().contains(kind));
   }
 
@@ -97,12 +97,12 @@
     answerWatches();
   }
 
-  /** Returns a copy of what the store holds. */
+  /** Returns a snapshot of the store. */
   Copy copy() {
     return new Copy(new TreeMap<>(stored), List.copyOf(history), revision);
   }
 
-  /** Puts the store back to a copy; watches that wait go on in the new epoch. */
+  /** Restores the store from a copy; open watches continue in the new epoch. */
   void restoreKeepingWatches(Copy copy) {
     stored.clear();
     stored.putAll(copy.stored());
@@ -112,7 +112,7 @@
     epoch++;
   }
 
-  /** Puts the store back to a copy; watches that wait are answered in the new epoch. */
+  /** Restores the store from a copy; open watches are answered in the new epoch. */
   void restore(Copy copy) {
     restoreKeepingWatches(copy);
     answerWatches();
--- a/org.oatlug.test/tst/org/oatlug/internal/config/package-info.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/config/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of how published objects reach every instance. */
+/** Tests of the replication of published objects to every instance. */
 package org.oatlug.internal.config;
--- a/org.oatlug.test/tst/org/oatlug/internal/platform/CountedPlatformTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/platform/CountedPlatformTest.java
@@ -21,20 +21,20 @@
 import org.oatlug.platform.StoredObject;
 import org.testng.annotations.Test;
 
-/** Shows that calls of the store are counted by operation and kind, when they are made. */
+/** Tests that calls of the store are counted by operation and kind, and only when sent. */
 public class CountedPlatformTest {
   private final MetricRegistry registry = new MetricRegistry();
-  private final Platform platform = CountedPlatform.of(new Store(), Meters.of(registry));
+  private final Platform platform = CountedPlatform.of(new FakeStore(), Meters.of(registry));
 
   private long count(String name) {
     return registry.counter(name).getCount();
   }
 
   @Test
-  public void testCallsAreCountedWhenTheyAreMade() {
-    Uni<Platform.Batch> notMade = platform.list(List.of("upstream"));
+  public void testCallsAreCountedOnSubscription() {
+    Uni<Platform.Batch> unsubscribed = platform.list(List.of("upstream"));
     assertEquals(count("store.list.upstream"), 0);
-    notMade.await().indefinitely();
+    unsubscribed.await().indefinitely();
     platform
         .watch(List.of("upstream"), StoreRevision.ofNumber(1), Duration.ofSeconds(1))
         .await()
@@ -45,15 +45,15 @@
   }
 
   @Test
-  public void testCallsThatFailAreCountedTwice() {
+  public void testFailedCallsAreCountedAsCallsAndFailures() {
     Uni<Optional<StoredObject>> call = platform.get(ObjectKey.valueOf("rollout", "pool"));
     expectThrows(RuntimeException.class, () -> call.await().indefinitely());
     assertEquals(count("store.get.rollout"), 1);
     assertEquals(count("store.failed.get.rollout"), 1);
   }
 
-  /** Lists and watches answer, other calls fail. */
-  private static final class Store implements Platform {
+  /** Platform whose lists and watches succeed and whose other calls fail. */
+  private static final class FakeStore implements Platform {
     @Override
     public StoreEpoch epoch() {
       return StoreEpoch.create();
--- a/org.oatlug.test/tst/org/oatlug/internal/platform/HttpPlatformTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/platform/HttpPlatformTest.java
@@ -23,7 +23,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Shows that the object API's client keeps the epochs of a restored store apart. */
+/** Tests that the client of the object API distinguishes the epochs of a restored store. */
 public class HttpPlatformTest {
   private static final ObjectKey KEY = ObjectKey.valueOf("version", "small-v1");
 
@@ -76,7 +76,7 @@
   }
 
   @Test
-  public void testWriteOverRevisionOfAnEarlierEpochIsNotSentOrNotTakenForDone() {
+  public void testWriteExpectingRevisionOfEarlierEpochFails() {
     StoreRevision known = get(platform.get(KEY)).orElseThrow().revision();
     assertEquals(known, new StoreRevision(1, 7));
     restore();
@@ -87,10 +87,11 @@
   }
 
   @Test
-  public void testObjectIsMadeInAnyEpoch() {
+  public void testObjectIsCreatedInAnyEpoch() {
     get(platform.get(KEY));
     restore();
-    StoreRevision made = get(platform.put(KEY, StoreRevision.NONE, Json.STRICT.createObjectNode()));
-    assertEquals(made, new StoreRevision(2, 7));
+    StoreRevision created =
+        get(platform.put(KEY, StoreRevision.NONE, Json.STRICT.createObjectNode()));
+    assertEquals(created, new StoreRevision(2, 7));
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/internal/platform/PlatformCallsTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/platform/PlatformCallsTest.java
@@ -13,10 +13,10 @@
 import org.testng.annotations.Test;
 
 /**
- * Shows that what another writer put into one object does not hide the others of the answer.
+ * Tests that invalid content of one object does not hide the other objects of the response.
  *
- * <p>Symptom, found by reading: with bytes that are no text in one entry the whole list counted as
- * empty and the watch began anew each half second, so that no change was learned any more.
+ * <p>Guards against a failure in which malformed UTF-8 in one entry made the whole list count as
+ * empty; the watch then restarted every half second and no change was received any more.
  */
 public class PlatformCallsTest {
   private static final byte[] BEFORE = "{\"items\": [{\"spec\": ".getBytes();
@@ -36,7 +36,7 @@
   }
 
   @Test(dataProvider = "foreign")
-  public void testOtherObjectsOfTheAnswerAreRead(byte[] foreign) throws IOException {
+  public void testOtherObjectsOfResponseAreParsed(byte[] foreign) throws IOException {
     Buffer body = Buffer.buffer(BEFORE).appendBytes(foreign).appendBytes(AFTER);
     JsonNode items = PlatformCalls.parse(body).path("items");
     assertEquals(items.size(), 2);
@@ -44,7 +44,7 @@
   }
 
   @Test
-  public void testWhatIsNoJsonIsRefused() {
+  public void testInvalidJsonIsRejected() {
     expectThrows(IOException.class, () -> PlatformCalls.parse(Buffer.buffer("{\"items\": [")));
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/internal/platform/package-info.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/platform/package-info.java
@@ -1,5 +1,5 @@
 // Copyright (c) 2026, the oatlug authors
 // SPDX-License-Identifier: BSD-3-Clause
 
-/** Tests of what all calls of a platform have in common. */
+/** Tests of the clients of the platform. */
 package org.oatlug.internal.platform;
--- a/org.oatlug/src/org/oatlug/internal/config/ConfigurationSystem.java
+++ b/org.oatlug/src/org/oatlug/internal/config/ConfigurationSystem.java
@@ -358,7 +358,7 @@
 
   /** Records the store epochs of objects of a peer, which may reveal that it was restored. */
   private void recordEpochs(List<StoredObject> objects) {
-    objects.forEach(object -> platform.epoch().note(object.revision().epoch()));
+    objects.forEach(object -> platform.epoch().advanceTo(object.revision().epoch()));
   }
 
   private List<StoredObject> objectsInDifferingBuckets(long[] digests) {
--- a/org.oatlug/src/org/oatlug/internal/platform/CountedPlatform.java
+++ b/org.oatlug/src/org/oatlug/internal/platform/CountedPlatform.java
@@ -18,23 +18,23 @@
 import org.oatlug.platform.StoredObject;
 
 /**
- * Counts the calls of a platform by operation and kind, and those that failed: {@code
- * store.OPERATION.KIND} and {@code store.failed.OPERATION.KIND}; and the entries that name nothing
- * to use, {@code store.unusable.KIND}; and the answers from before a restore of the store, {@code
- * store.discarded}. Used from one event loop.
+ * Counts the calls of a platform by operation and kind, {@code store.OPERATION.KIND}, the failed
+ * ones, {@code store.failed.OPERATION.KIND}, the unusable entries, {@code store.unusable.KIND}, and
+ * the responses from before a restore of the store, {@code store.discarded}. Used from one event
+ * loop.
  */
 public final class CountedPlatform implements Platform {
-  private final Platform counted;
+  private final Platform delegate;
   private final Meters meters;
 
-  private CountedPlatform(Platform counted, Meters meters) {
-    this.counted = counted;
+  private CountedPlatform(Platform delegate, Meters meters) {
+    this.delegate = delegate;
     this.meters = meters;
   }
 
-  /** Returns the platform with its calls counted. */
-  public static Platform of(Platform counted, Meters meters) {
-    return new CountedPlatform(counted, meters);
+  /** Returns a platform that counts the calls to {@code delegate}. */
+  public static Platform of(Platform delegate, Meters meters) {
+    return new CountedPlatform(delegate, meters);
   }
 
   private <T> Uni<T> count(String operation, String kind, Uni<T> call) {
@@ -52,7 +52,7 @@
     }
   }
 
-  private void noteUnusable(Batch batch) {
+  private void countUnusable(Batch batch) {
     for (StoredObject object : batch.objects()) {
       if (Kinds.problemOfUnusable(object.value()).isPresent()) {
         meters.count("store.unusable." + object.key().kind());
@@ -62,17 +62,17 @@
 
   @Override
   public Uni<Optional<StoredObject>> get(ObjectKey key) {
-    return count("get", key.kind(), counted.get(key));
+    return count("get", key.kind(), delegate.get(key));
   }
 
   @Override
   public Uni<Batch> list(List<String> kinds) {
-    return count("list", String.join("-", kinds), counted.list(kinds).invoke(this::noteUnusable));
+    return count("list", String.join("-", kinds), delegate.list(kinds).invoke(this::countUnusable));
   }
 
   @Override
   public Uni<StoreRevision> put(ObjectKey key, StoreRevision expected, JsonNode value) {
-    return count("put", key.kind(), counted.put(key, expected, value));
+    return count("put", key.kind(), delegate.put(key, expected, value));
   }
 
   @Override
@@ -80,16 +80,16 @@
     return count(
         "watch",
         String.join("-", kinds),
-        counted.watch(kinds, revision, wait).invoke(this::noteUnusable));
+        delegate.watch(kinds, revision, wait).invoke(this::countUnusable));
   }
 
   @Override
   public StoreEpoch epoch() {
-    return counted.epoch();
+    return delegate.epoch();
   }
 
   @Override
   public Uni<List<ListedInstance>> instances() {
-    return counted.instances();
+    return delegate.instances();
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/platform/HttpPlatform.java
+++ b/org.oatlug/src/org/oatlug/internal/platform/HttpPlatform.java
@@ -25,49 +25,52 @@
 import org.oatlug.platform.StoredObject;
 
 /**
- * The object API over HTTP and JSON.
+ * Client of the object API over HTTP and JSON.
  *
  * <p>Objects: {@code GET} and {@code PUT /objects/KIND/NAME} with {@code If-Match: VERSION}; lists:
  * {@code GET /objects?kinds=A,B}; watches: {@code GET /watch?kinds=A,B&since=REVISION&wait=MILLIS};
- * instances: {@code GET /instances}. Each answer may name the epoch of the store, {@code
- * Store-Epoch}. Used from one event loop.
+ * instances: {@code GET /instances}. Each response may name the epoch of the store in the header
+ * {@code Store-Epoch}. Used from one event loop.
  */
 public final class HttpPlatform implements Platform {
-  private static final long CALL_MILLIS = 1000;
-  private static final long LIST_MILLIS = 5000;
+  private static final long CALL_TIMEOUT_MILLIS = 1000;
+  private static final long LIST_TIMEOUT_MILLIS = 5000;
   private static final int OK = 200;
   private static final int NOT_FOUND = 404;
   private static final int CONFLICT = 412;
-  private static final String EPOCH = "Store-Epoch";
+  private static final String EPOCH_HEADER = "Store-Epoch";
 
-  private final StoreCalls calls = StoreCalls.create(EPOCH, Set.of(OK, NOT_FOUND, CONFLICT));
+  private final StoreCalls calls = StoreCalls.create(EPOCH_HEADER, Set.of(OK, NOT_FOUND, CONFLICT));
   private final WebClient client;
 
   private HttpPlatform(WebClient client) {
     this.client = client;
   }
 
-  /** Returns the adapter of the platform at {@code address}. */
+  /** Returns the client of the platform at {@code address}. */
   public static HttpPlatform create(Vertx vertx, Settings.Address address) {
     WebClientOptions options =
         new WebClientOptions()
             .setDefaultHost(address.host())
             .setDefaultPort(address.port())
-            .setConnectTimeout((int) CALL_MILLIS);
+            .setConnectTimeout((int) CALL_TIMEOUT_MILLIS);
     return new HttpPlatform(WebClient.create(vertx, options));
   }
 
   @Override
   public Uni<Optional<StoredObject>> get(ObjectKey key) {
-    HttpRequest<Buffer> request = client.get(pathOf(key)).timeout(CALL_MILLIS);
-    return calls.call("get " + key, request::send).map(answer -> objectIn(key, answer));
+    HttpRequest<Buffer> request = client.get(pathOf(key)).timeout(CALL_TIMEOUT_MILLIS);
+    return calls.call("get " + key, request::send).map(response -> objectOf(key, response));
   }
 
   @Override
   public Uni<Batch> list(List<String> kinds) {
     HttpRequest<Buffer> request =
-        client.get("/objects").addQueryParam("kinds", String.join(",", kinds)).timeout(LIST_MILLIS);
-    return calls.call("list", request::send).map(HttpPlatform::batchIn);
+        client
+            .get("/objects")
+            .addQueryParam("kinds", String.join(",", kinds))
+            .timeout(LIST_TIMEOUT_MILLIS);
+    return calls.call("list", request::send).map(HttpPlatform::batchOf);
   }
 
   @Override
@@ -78,8 +81,8 @@
             .addQueryParam("kinds", String.join(",", kinds))
             .addQueryParam("since", Long.toString(revision.number()))
             .addQueryParam("wait", Long.toString(wait.toMillis()))
-            .timeout(wait.toMillis() + CALL_MILLIS);
-    return calls.call("watch", request::send).map(HttpPlatform::batchIn);
+            .timeout(wait.toMillis() + CALL_TIMEOUT_MILLIS);
+    return calls.call("watch", request::send).map(HttpPlatform::batchOf);
   }
 
   @Override
@@ -93,32 +96,32 @@
             .put(pathOf(key))
             .putHeader("If-Match", Long.toString(expected.number()))
             .putHeader("Content-Type", "application/json")
-            .timeout(CALL_MILLIS);
+            .timeout(CALL_TIMEOUT_MILLIS);
     return calls
         .call("put " + key, () -> request.sendBuffer(body))
         .onItem()
         .transformToUni(
-            answer -> {
-              if (answer.status() == CONFLICT) {
-                Optional<StoredObject> current = objectIn(key, answer);
+            response -> {
+              if (response.status() == CONFLICT) {
+                Optional<StoredObject> current = objectOf(key, response);
                 return Uni.createFrom().failure(new ConflictException(key, expected, current));
               }
               if (calls.isOutdated(expected)) {
                 return Uni.createFrom().failure(calls.outdated("put " + key, expected.epoch()));
               }
-              return Uni.createFrom().item(answer.revision(answer.body().path("version")));
+              return Uni.createFrom().item(response.revision(response.body().path("version")));
             });
   }
 
   @Override
   public Uni<List<ListedInstance>> instances() {
-    HttpRequest<Buffer> request = client.get("/instances").timeout(CALL_MILLIS);
+    HttpRequest<Buffer> request = client.get("/instances").timeout(CALL_TIMEOUT_MILLIS);
     return calls
         .call("instances", request::send)
         .map(
-            answer -> {
+            response -> {
               List<ListedInstance> listed = new ArrayList<>();
-              for (JsonNode node : answer.body()) {
+              for (JsonNode node : response.body()) {
                 listed.add(Json.STRICT.convertValue(node, ListedInstance.class));
               }
               return listed;
@@ -134,22 +137,23 @@
     return "/objects/" + key.kind() + "/" + key.name();
   }
 
-  private static Optional<StoredObject> objectIn(ObjectKey key, StoreCalls.Answer answer) {
-    JsonNode node = answer.body();
-    if (answer.status() == NOT_FOUND || !node.has("version")) {
+  private static Optional<StoredObject> objectOf(ObjectKey key, StoreCalls.Answer response) {
+    JsonNode node = response.body();
+    if (response.status() == NOT_FOUND || !node.has("version")) {
       return Optional.empty();
     }
     return Optional.of(
-        StoredObject.of(key, answer.revision(node.path("version")), node.get("value")));
+        StoredObject.of(key, response.revision(node.path("version")), node.get("value")));
   }
 
-  private static Batch batchIn(StoreCalls.Answer answer) {
-    JsonNode node = answer.body();
+  private static Batch batchOf(StoreCalls.Answer response) {
+    JsonNode node = response.body();
     List<StoredObject> objects = new ArrayList<>();
-    for (JsonNode one : node.path("objects")) {
-      ObjectKey key = ObjectKey.valueOf(one.path("kind").asText(), one.path("name").asText());
-      objects.add(StoredObject.of(key, answer.revision(one.path("version")), one.get("value")));
+    for (JsonNode entry : node.path("objects")) {
+      ObjectKey key = ObjectKey.valueOf(entry.path("kind").asText(), entry.path("name").asText());
+      objects.add(
+          StoredObject.of(key, response.revision(entry.path("version")), entry.get("value")));
     }
-    return new Batch(answer.revision(node.path("revision")), objects);
+    return new Batch(response.revision(node.path("revision")), objects);
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/platform/PlatformCalls.java
+++ b/org.oatlug/src/org/oatlug/internal/platform/PlatformCalls.java
@@ -23,56 +23,59 @@
 import org.oatlug.internal.util.Json;
 import org.oatlug.internal.util.Unis;
 
-/** What all calls of a platform's store over HTTP and JSON have in common. Stateless. */
+/** Sends calls to a platform's store over HTTP and parses their JSON responses. Stateless. */
 public final class PlatformCalls {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-  private static final int TOO_MANY = 429;
+  private static final int TOO_MANY_REQUESTS = 429;
 
-  /** Deeper and longer than anything that the platform's own writers write. */
-  private static final StreamReadConstraints WIDE =
+  /** Limits above the depth and number length that the platform's own writers use. */
+  private static final StreamReadConstraints LENIENT_LIMITS =
       StreamReadConstraints.builder().maxNestingDepth(10_000).maxNumberLength(20_000).build();
 
-  private static final JsonFactory TOLERANT =
+  private static final JsonFactory LENIENT_FACTORY =
       JsonFactory.builder()
-          .streamReadConstraints(WIDE)
+          .streamReadConstraints(LENIENT_LIMITS)
           .enable(JsonReadFeature.ALLOW_UNESCAPED_CONTROL_CHARS)
           .build();
 
   private PlatformCalls() {}
 
   /**
-   * Makes a call.
+   * Sends a call.
    *
-   * <p>Fails with {@link PlatformBusyException} when the store's rate is used up, and with {@link
-   * PlatformUnavailableException} when there is no answer or one of another status.
+   * <p>Fails with {@link PlatformBusyException} when the rate limit of the store is exceeded, and
+   * with {@link PlatformUnavailableException} when there is no response or its status is not
+   * accepted.
    *
-   * @param operation the call, for messages
-   * @param answers the statuses that are answers
+   * @param operation the operation, for error messages
+   * @param acceptedStatuses the accepted statuses
    */
   public static Uni<HttpResponse<Buffer>> call(
-      String operation, Set<Integer> answers, Supplier<Future<HttpResponse<Buffer>>> send) {
+      String operation,
+      Set<Integer> acceptedStatuses,
+      Supplier<Future<HttpResponse<Buffer>>> send) {
     return Unis.fromFuture(send)
         .onFailure()
         .transform(failure -> new PlatformUnavailableException(operation, failure))
         .onItem()
-        .transformToUni(response -> checked(operation, answers, response));
+        .transformToUni(response -> checkStatus(operation, acceptedStatuses, response));
   }
 
-  private static Uni<HttpResponse<Buffer>> checked(
-      String operation, Set<Integer> answers, HttpResponse<Buffer> response) {
+  private static Uni<HttpResponse<Buffer>> checkStatus(
+      String operation, Set<Integer> acceptedStatuses, HttpResponse<Buffer> response) {
     int status = response.statusCode();
-    if (answers.contains(status)) {
+    if (acceptedStatuses.contains(status)) {
       return Uni.createFrom().item(response);
     }
-    if (status == TOO_MANY) {
+    if (status == TOO_MANY_REQUESTS) {
       return Uni.createFrom().failure(new PlatformBusyException(operation));
     }
     Exception cause = new IOException("status " + status);
     return Uni.createFrom().failure(new PlatformUnavailableException(operation, cause));
   }
 
-  /** Returns the JSON of an answer, an empty object if it has none; that is logged. */
-  public static JsonNode tree(HttpResponse<Buffer> response) {
+  /** Returns the JSON of a response, an empty object if it has none; invalid JSON is logged. */
+  public static JsonNode parseBody(HttpResponse<Buffer> response) {
     Buffer body = response.body();
     if (body == null) {
       return Json.STRICT.createObjectNode();
@@ -80,20 +83,20 @@
     try {
       return parse(body);
     } catch (IOException e) {
-      logger.atWarning().log("an answer of the platform is no JSON: %s", e.getMessage());
+      logger.atWarning().log("a response of the platform is not valid JSON: %s", e.getMessage());
       return Json.STRICT.createObjectNode();
     }
   }
 
   /**
-   * Reads the JSON of an answer. What another writer put into one object does not spoil the others
-   * of the same answer: bytes that are no text become question marks, control characters, deep
-   * nesting and long numbers pass.
+   * Parses the JSON of a response leniently, so that invalid content of one object does not affect
+   * the other objects of the response: malformed UTF-8 becomes replacement characters; control
+   * characters, deep nesting and long numbers are accepted.
    */
   static JsonNode parse(Buffer body) throws IOException {
-    try (JsonParser parser = TOLERANT.createParser(body.toString(StandardCharsets.UTF_8))) {
-      JsonNode read = Json.STRICT.readTree(parser);
-      return read == null ? MissingNode.getInstance() : read;
+    try (JsonParser parser = LENIENT_FACTORY.createParser(body.toString(StandardCharsets.UTF_8))) {
+      JsonNode parsed = Json.STRICT.readTree(parser);
+      return parsed == null ? MissingNode.getInstance() : parsed;
     }
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/platform/StoreCalls.java
+++ b/org.oatlug/src/org/oatlug/internal/platform/StoreCalls.java
@@ -18,43 +18,43 @@
 import org.oatlug.platform.StoreRevision;
 
 /**
- * The calls of one client of a store, each answer with the epoch of the store that gave it.
+ * Sends the calls of one client of a store and tracks the epoch of the store.
  *
- * <p>Invariant: an answer of an earlier epoch than the newest known one reaches nobody. Owned by
- * one event loop, not thread-safe.
+ * <p>Invariant: a response of an earlier epoch than the newest known one never reaches a caller.
+ * Owned by one event loop, not thread-safe.
  */
 public final class StoreCalls {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-  private static final int DISCARDED_LINES_SECONDS = 1;
+  private static final int DISCARDED_LOG_INTERVAL_SECONDS = 1;
 
   private final String epochHeader;
-  private final Set<Integer> answers;
+  private final Set<Integer> acceptedStatuses;
   private final StoreEpoch epoch = StoreEpoch.create();
 
-  private StoreCalls(String epochHeader, Set<Integer> answers) {
+  private StoreCalls(String epochHeader, Set<Integer> acceptedStatuses) {
     this.epochHeader = epochHeader;
-    this.answers = answers;
+    this.acceptedStatuses = acceptedStatuses;
   }
 
   /**
-   * Returns the calls of a client that has not called yet.
+   * Returns the calls of a client that has not sent any yet.
    *
-   * @param epochHeader the header by which the store names its epoch in any answer
-   * @param answers the statuses that are answers
+   * @param epochHeader the response header that holds the epoch of the store
+   * @param acceptedStatuses the accepted statuses
    */
-  public static StoreCalls create(String epochHeader, Set<Integer> answers) {
-    return new StoreCalls(epochHeader, answers);
+  public static StoreCalls create(String epochHeader, Set<Integer> acceptedStatuses) {
+    return new StoreCalls(epochHeader, acceptedStatuses);
   }
 
   /**
-   * An answer of the store. Immutable.
+   * Response of the store. Immutable.
    *
-   * @param status its status
-   * @param body its content, an empty object if it has none
-   * @param epoch the epoch of the store that gave it
+   * @param status the HTTP status
+   * @param body the content, an empty object if there is none
+   * @param epoch the epoch of the store at the time of the response
    */
   public record Answer(int status, JsonNode body, long epoch) {
-    /** Returns the revision with the number in the epoch of the answer. */
+    /** Returns the revision with this number in the epoch of the response. */
     public StoreRevision revision(JsonNode number) {
       return new StoreRevision(epoch, number.asLong());
     }
@@ -65,33 +65,34 @@
     return epoch;
   }
 
-  /** Makes a call; fails as {@link PlatformCalls#call} does, and if the answer is discarded. */
+  /** Sends a call; fails as {@link PlatformCalls#call}, or if the response is discarded. */
   public Uni<Answer> call(String operation, Supplier<Future<HttpResponse<Buffer>>> send) {
-    return PlatformCalls.call(operation, answers, () -> send.get().onSuccess(this::noteEpoch))
+    return PlatformCalls.call(
+            operation, acceptedStatuses, () -> send.get().onSuccess(this::recordEpoch))
         .onItem()
-        .transformToUni(response -> current(operation, response));
+        .transformToUni(response -> requireCurrentEpoch(operation, response));
   }
 
-  /** Takes in the epoch of an answer of any status. */
-  private void noteEpoch(HttpResponse<Buffer> response) {
-    epoch.noteAnswer(response.getHeader(epochHeader));
+  /** Records the epoch of a response of any status. */
+  private void recordEpoch(HttpResponse<Buffer> response) {
+    epoch.recordResponse(response.getHeader(epochHeader));
   }
 
-  private Uni<Answer> current(String operation, HttpResponse<Buffer> response) {
+  private Uni<Answer> requireCurrentEpoch(String operation, HttpResponse<Buffer> response) {
     long newest = epoch.newest();
-    long named = epoch.noteAnswer(response.getHeader(epochHeader)).orElse(newest);
-    if (named < newest) {
-      logger.atInfo().atMostEvery(DISCARDED_LINES_SECONDS, TimeUnit.SECONDS).log(
-          "the answer to %s is discarded, epoch=%d newest=%d", operation, named, newest);
-      return Uni.createFrom().failure(outdated(operation, named));
+    long responseEpoch = epoch.recordResponse(response.getHeader(epochHeader)).orElse(newest);
+    if (responseEpoch < newest) {
+      logger.atInfo().atMostEvery(DISCARDED_LOG_INTERVAL_SECONDS, TimeUnit.SECONDS).log(
+          "discarded the response to %s, epoch=%d newest=%d", operation, responseEpoch, newest);
+      return Uni.createFrom().failure(outdated(operation, responseEpoch));
     }
     return Uni.createFrom()
-        .item(new Answer(response.statusCode(), PlatformCalls.tree(response), named));
+        .item(new Answer(response.statusCode(), PlatformCalls.parseBody(response), responseEpoch));
   }
 
   /**
-   * Returns whether a write was prepared before the store was restored. Its condition may match
-   * another object then, whose revision was given out again.
+   * Returns whether a write was prepared before the store was restored. Its condition may then
+   * match other content, as the restored store reuses revisions.
    *
    * @param expected the revision that the write expects
    */
@@ -99,9 +100,10 @@
     return !expected.equals(StoreRevision.NONE) && expected.epoch() < epoch.newest();
   }
 
-  /** Returns the failure of a call that an earlier epoch answered, or was prepared in. */
-  public PlatformUnavailableException outdated(String operation, long answered) {
-    EarlierEpochException cause = new EarlierEpochException(operation, answered, epoch.newest());
+  /** Returns the failure of a call that was answered or prepared in {@code earlierEpoch}. */
+  public PlatformUnavailableException outdated(String operation, long earlierEpoch) {
+    EarlierEpochException cause =
+        new EarlierEpochException(operation, earlierEpoch, epoch.newest());
     return new PlatformUnavailableException(operation, cause);
   }
 }
--- a/org.oatlug/src/org/oatlug/platform/StoreEpoch.java
+++ b/org.oatlug/src/org/oatlug/platform/StoreEpoch.java
@@ -9,27 +9,27 @@
 import java.util.regex.Pattern;
 
 /**
- * The newest epoch of the store that this instance has heard of. The store begins a new epoch each
- * time it is restored from a copy, and counts revisions on from those of the copy.
+ * Newest epoch of the store that is known to this instance. The store begins a new epoch each time
+ * it is restored from a copy, and continues the revision numbers of the copy.
  *
- * <p>Invariant: the epoch never falls. Owned by one event loop, not thread-safe.
+ * <p>Invariant: the epoch never decreases. Owned by one event loop, not thread-safe.
  */
 public final class StoreEpoch {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** The epoch of a store that names none. */
+  /** The epoch of a store that does not report one. */
   public static final long UNNAMED = 0;
 
-  private static final int MALFORMED_LINES_SECONDS = 30;
+  private static final int MALFORMED_LOG_INTERVAL_SECONDS = 30;
 
-  /** Far fewer digits than a {@code long} holds. */
+  /** Few enough digits that any match fits a {@code long}. */
   private static final Pattern NUMBER = Pattern.compile("\\d{1,15}");
 
   private long newest = UNNAMED;
 
   private StoreEpoch() {}
 
-  /** Returns the epoch of a store that was not asked yet. */
+  /** Returns the epoch of a store that has not responded yet. */
   public static StoreEpoch create() {
     return new StoreEpoch();
   }
@@ -40,27 +40,27 @@
   }
 
   /**
-   * Takes in what an answer says of its epoch.
+   * Records the epoch that a response reports.
    *
-   * @param text the value of the header, null if the answer has none
-   * @return the epoch of the answer, empty if it names none
+   * @param text the value of the header, null if the response has none
+   * @return the epoch of the response, empty if it does not report a valid one
    */
-  public OptionalLong noteAnswer(String text) {
+  public OptionalLong recordResponse(String text) {
     if (text == null) {
       return OptionalLong.empty();
     }
     if (!NUMBER.matcher(text).matches()) {
-      logger.atWarning().atMostEvery(MALFORMED_LINES_SECONDS, TimeUnit.SECONDS).log(
-          "the store names an epoch that is no number: %.20s", text);
+      logger.atWarning().atMostEvery(MALFORMED_LOG_INTERVAL_SECONDS, TimeUnit.SECONDS).log(
+          "the store sent an epoch that is not a number: %.20s", text);
       return OptionalLong.empty();
     }
     long epoch = Long.parseLong(text);
-    note(epoch);
+    advanceTo(epoch);
     return OptionalLong.of(epoch);
   }
 
-  /** Takes in an epoch that an answer or another instance named. */
-  public void note(long epoch) {
+  /** Records an epoch that a response or another instance reported. */
+  public void advanceTo(long epoch) {
     if (epoch <= newest) {
       return;
     }
--- a/org.oatlug/src/org/oatlug/platform/StoreRevision.java
+++ b/org.oatlug/src/org/oatlug/platform/StoreRevision.java
@@ -6,24 +6,24 @@
 import java.util.Comparator;
 
 /**
- * A moment in the history of the store. Immutable.
+ * Revision of the store. Immutable.
  *
- * <p>Numbers rise with every write, but only within an epoch: a store that is restored from a copy
- * begins a new epoch and gives out again the numbers after that of the copy. So numbers are never
+ * <p>Numbers increase with every write, but only within an epoch: a store that is restored from a
+ * copy begins a new epoch and reuses the numbers that follow that of the copy. So numbers are never
  * compared without their epochs.
  *
- * @param epoch how often the store was restored, as it counts that; {@link StoreEpoch#UNNAMED} if
- *     it does not say
+ * @param epoch the epoch of the store, which increases with each restore; {@link
+ *     StoreEpoch#UNNAMED} if the store does not report it
  * @param number the number of the write within the epoch
  */
 public record StoreRevision(long epoch, long number) implements Comparable<StoreRevision> {
-  /** Before any write. */
+  /** The revision before any write. */
   public static final StoreRevision NONE = new StoreRevision(StoreEpoch.UNNAMED, 0);
 
   private static final Comparator<StoreRevision> ORDER =
       Comparator.comparingLong(StoreRevision::epoch).thenComparingLong(StoreRevision::number);
 
-  /** Returns a revision of a store that names no epoch. */
+  /** Returns a revision of a store that does not report an epoch. */
   public static StoreRevision ofNumber(long number) {
     return new StoreRevision(StoreEpoch.UNNAMED, number);
   }
--- a/org.oatlug/src/org/oatlug/platform/StoredObject.java
+++ b/org.oatlug/src/org/oatlug/platform/StoredObject.java
@@ -7,47 +7,47 @@
 import org.oatlug.api.ObjectKey;
 
 /**
- * An object as the platform holds it. Immutable by convention: nobody changes {@code value}.
+ * Object of the store at one revision. Immutable by convention: {@code value} is never modified.
  *
- * @param key kind and name
+ * @param key the kind and name
  * @param revision the revision of the store at which it was written
  * @param value the content
- * @param standing how the content relates to what the store shows at the revision
+ * @param standing how the content relates to that of the store at the revision
  */
 public record StoredObject(
     ObjectKey key, StoreRevision revision, JsonNode value, Standing standing) {
 
-  /** How a content relates to what the store shows; the later constant goes before the earlier. */
+  /** Relation of content to that of the store; later constants override earlier ones. */
   public enum Standing {
-    /** The store shows it. */
+    /** The store holds this content. */
     SHOWN,
-    /** It was known before the store was restored, and is newer than what the store shows. */
+    /** Known since before a restore of the store, and newer than the content in the store. */
     RETAINED,
-    /** The store still shows it long after it was restored, so it counts whatever was known. */
+    /** Still in the store long after a restore, so it overrides any content known before. */
     CONFIRMED
   }
 
-  /** Takes a missing standing, of an instance that knows none, for what the store shows. */
+  /** Treats a missing standing, sent by instances that lack the field, as {@code SHOWN}. */
   public StoredObject {
     standing = standing == null ? Standing.SHOWN : standing;
   }
 
-  /** Returns an object with the content that the store shows. */
+  /** Returns an object with the content that the store holds. */
   public static StoredObject of(ObjectKey key, StoreRevision revision, JsonNode value) {
     return new StoredObject(key, revision, value, Standing.SHOWN);
   }
 
-  /** Returns the object with content that is known to be newer than what the store shows. */
+  /** Returns the object with content known to be newer than that of the store. */
   public StoredObject retaining(JsonNode newer) {
     return new StoredObject(key, revision, newer, Standing.RETAINED);
   }
 
-  /** Returns the object as one that the store goes on to show. */
+  /** Returns the object, confirmed as still being in the store. */
   public StoredObject confirmed() {
     return new StoredObject(key, revision, value, Standing.CONFIRMED);
   }
 
-  /** Returns whether the store shows an older content than this. */
+  /** Returns whether the store holds older content than this. */
   public boolean retained() {
     return standing == Standing.RETAINED;
   }
