--- a/org.oatlug.test/tst/org/oatlug/internal/config/VirtualFleet.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/config/VirtualFleet.java
@@ -211,7 +211,8 @@
                     refused.contains(name()) ? refusalTime : LIST_TIME,
                     () -> {
                       if (refused.contains(name())) {
-                        emitter.fail(new PlatformUnavailableException("turned away", null));
+                        emitter.fail(
+                            new PlatformUnavailableException("refused by the store", null));
                       } else {
                         knownEpoch.advanceTo(store.now().epoch());
                         answer.run();
@@ -235,7 +236,7 @@
       Runnable answer =
           () -> {
             if (refused.contains(name())) {
-              emitter.fail(new PlatformUnavailableException("turned away", null));
+              emitter.fail(new PlatformUnavailableException("refused by the store", null));
             } else {
               knownEpoch.advanceTo(store.now().epoch());
               emitter.complete(store.changesAfter(kinds, since));
--- a/org.oatlug/src/org/oatlug/internal/config/ConfigurationSystem.java
+++ b/org.oatlug/src/org/oatlug/internal/config/ConfigurationSystem.java
@@ -356,7 +356,7 @@
     }
   }
 
-  /** Records the store epochs of objects of a peer, which may reveal that it was restored. */
+  /** Records the epochs of objects of a peer, which may reveal a restore of the store. */
   private void recordEpochs(List<StoredObject> objects) {
     objects.forEach(object -> platform.epoch().advanceTo(object.revision().epoch()));
   }
