--- a/org.oatlug.test/tst/org/oatlug/test/ShardTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/ShardTest.java
@@ -27,8 +27,8 @@
 import org.oatlug.internal.ledger.Shard;
 
 /**
- * Shows what the ledger promises, with several writers of one shard that pause, crash, race and
- * lose replies: a key is granted to one attempt, an id is billed once.
+ * Verifies the guarantees of the ledger with several writers of one shard that pause, crash, race
+ * and lose replies: a key is granted to only one attempt, and an id is billed only once.
  */
 class ShardTest {
   private static final String SEED = "20261202";
@@ -37,13 +37,13 @@
   private static final int WRITERS = 3;
   private static final int KEYS = 4;
   private static final int STEPS = 200;
-  private static final int SMALL_HEAD = 1500;
+  private static final int MAXIMUM_HEAD_BYTES = 1500;
 
   private final FakeClock clock = new FakeClock();
 
   private Shard writer(FakePlatform platform) {
     Shard.Options options =
-        new Shard.Options(Duration.ofHours(24), TICK, Duration.ofSeconds(2), SMALL_HEAD);
+        new Shard.Options(Duration.ofHours(24), TICK, Duration.ofSeconds(2), MAXIMUM_HEAD_BYTES);
     return Shard.create("bills-0", platform, clock, options, new MetricRegistry());
   }
 
@@ -67,40 +67,40 @@
     return results.get(0).kind();
   }
 
-  /** A writer whose state is old must not answer from it. */
+  /** A writer with stale state must not return results from it. */
   @Example
-  void testWriterWithOldStateSeesOutcomeOfAnotherWriter() {
+  void testWriterWithStaleStateSeesOutcomeOfAnotherWriter() {
     FakePlatform platform = FakePlatform.create();
-    Shard one = writer(platform);
-    Shard other = writer(platform);
-    assertEquals(submit(one, claim("k", "a")), LedgerResult.Kind.GRANTED);
-    assertEquals(submit(other, outcome("k", "a")), LedgerResult.Kind.RECORDED);
-    assertEquals(submit(one, claim("k", "b")), LedgerResult.Kind.ENDED);
+    Shard first = writer(platform);
+    Shard second = writer(platform);
+    assertEquals(submit(first, claim("k", "a")), LedgerResult.Kind.GRANTED);
+    assertEquals(submit(second, outcome("k", "a")), LedgerResult.Kind.RECORDED);
+    assertEquals(submit(first, claim("k", "b")), LedgerResult.Kind.ENDED);
   }
 
-  /** An outcome that reaches a writer which has not seen the claim is not lost. */
+  /** An outcome submitted to a writer that has not read the claim is not lost. */
   @Example
-  void testOutcomeAtWriterWithOldStateIsRecorded() {
+  void testOutcomeAtWriterWithStaleStateIsRecorded() {
     FakePlatform platform = FakePlatform.create();
-    Shard one = writer(platform);
-    Shard other = writer(platform);
-    assertEquals(submit(one, claim("first", "x")), LedgerResult.Kind.GRANTED);
-    assertEquals(submit(other, claim("k", "a")), LedgerResult.Kind.GRANTED);
-    assertEquals(submit(one, outcome("k", "a")), LedgerResult.Kind.RECORDED);
-    assertEquals(submit(other, claim("k", "b")), LedgerResult.Kind.ENDED);
+    Shard first = writer(platform);
+    Shard second = writer(platform);
+    assertEquals(submit(first, claim("first", "x")), LedgerResult.Kind.GRANTED);
+    assertEquals(submit(second, claim("k", "a")), LedgerResult.Kind.GRANTED);
+    assertEquals(submit(first, outcome("k", "a")), LedgerResult.Kind.RECORDED);
+    assertEquals(submit(second, claim("k", "b")), LedgerResult.Kind.ENDED);
   }
 
-  /** A void that overtakes its claim keeps the claim out. */
+  /** A void that is recorded before its claim prevents the claim from being granted. */
   @Example
-  void testVoidBeforeItsClaimKeepsTheClaimOut() {
+  void testVoidBeforeClaimPreventsGrant() {
     FakePlatform platform = FakePlatform.create();
-    Shard one = writer(platform);
-    assertEquals(submit(one, new LedgerEntry.Void("k", "a")), LedgerResult.Kind.RECORDED);
-    assertEquals(submit(one, claim("k", "a")), LedgerResult.Kind.VOIDED);
-    assertEquals(submit(one, claim("k", "b")), LedgerResult.Kind.GRANTED);
+    Shard first = writer(platform);
+    assertEquals(submit(first, new LedgerEntry.Void("k", "a")), LedgerResult.Kind.RECORDED);
+    assertEquals(submit(first, claim("k", "a")), LedgerResult.Kind.VOIDED);
+    assertEquals(submit(first, claim("k", "b")), LedgerResult.Kind.GRANTED);
   }
 
-  /** A claim that is older than the retention is refused, never taken as new. */
+  /** A claim older than the retention is refused and not treated as new. */
   @Example
   void testClaimOlderThanRetentionIsRefused() {
     FakePlatform platform = FakePlatform.create();
@@ -109,7 +109,7 @@
     assertEquals(submit(writer(platform), old), LedgerResult.Kind.EXPIRED);
   }
 
-  /** A bill that waited longer than ids are kept is refused, never entered a second time. */
+  /** A bill older than the retention of ids is refused and not recorded a second time. */
   @Example
   void testBillOlderThanRetentionIsRefused() {
     FakePlatform platform = FakePlatform.create();
@@ -121,12 +121,12 @@
     assertEquals(submit(shard, new LedgerEntry.Billed(bill)), LedgerResult.Kind.EXPIRED);
   }
 
-  /** Under load for longer than the retention, what a writer keeps stays bounded. */
+  /** Under load for longer than the retention, the state of a writer stays bounded. */
   @Example
-  void testWriterForgetsWhatIsOlderThanRetention() {
+  void testWriterRemovesEntriesOlderThanRetention() {
     FakePlatform platform = FakePlatform.create();
     Shard shard = writer(platform);
-    int most = 0;
+    int maximumSize = 0;
     for (int hour = 0; hour < 60; hour++) {
       for (int number = 0; number < 20; number++) {
         String name = hour + "-" + number;
@@ -137,18 +137,18 @@
         submit(shard, new LedgerEntry.Binding("session-" + name, "v1"));
         submit(shard, new LedgerEntry.Billed(bill));
       }
-      most = Math.max(most, shard.size());
+      maximumSize = Math.max(maximumSize, shard.size());
       clock.advance(Duration.ofHours(1));
     }
-    assertTrue(most <= 80 * 27, "kept " + most);
+    assertTrue(maximumSize <= 80 * 27, "kept " + maximumSize);
     long old = clock.instant().minus(Duration.ofHours(2)).toEpochMilli();
     Bill again = new Bill("58-3", "w", "v", 1, 1, 1, true, "process@1", old);
     assertEquals(submit(shard, new LedgerEntry.Billed(again)), LedgerResult.Kind.ALREADY);
   }
 
-  /** A head that names many segments does not seal at each write. */
+  /** A head that references many segments does not create a new segment at each write. */
   @Example
-  void testManySegmentsDoNotSealEachWrite() {
+  void testManySegmentsDoNotCauseSegmentAtEachWrite() {
     FakePlatform platform = FakePlatform.create();
     Shard shard = writer(platform);
     for (int number = 0; number < 300; number++) {
@@ -162,29 +162,29 @@
   void testKeyIsGrantedToOneAttemptThatRuns(@ForAll Random random) {
     History history = new History(FakePlatform.create(), random);
     history.run();
-    assertTrue(history.overrun().isEmpty(), "ran twice: " + history.overrun());
+    assertTrue(history.keyRunTwice().isEmpty(), "ran twice: " + history.keyRunTwice());
     assertFalse(history.billedTwice(), "an id is billed twice");
   }
 
-  /** Without conditional updates the same histories run a key twice: the check can see it. */
+  /** Without conditional updates the same histories run a key twice, so the check can detect it. */
   @Example
   void testWithoutConditionalUpdatesKeysRunTwice() {
     boolean seen = false;
     for (int seed = 0; seed < 100 && !seen; seed++) {
       History history = new History(FakePlatform.unconditional(), new Random(seed));
       history.run();
-      seen = !history.overrun().isEmpty();
+      seen = !history.keyRunTwice().isEmpty();
     }
     assertTrue(seen);
   }
 
-  /** Random steps of callers, writers and the platform. */
+  /** Random sequence of steps of callers, writers and the platform. */
   private final class History {
     private final FakePlatform platform;
     private final Random random;
     private final List<Shard> writers = new ArrayList<>();
     private final Map<String, Set<String>> runs = new HashMap<>();
-    private final Set<String> givenUp = new HashSet<>();
+    private final Set<String> abandonedAttempts = new HashSet<>();
     private int attempts;
 
     History(FakePlatform platform, Random random) {
@@ -223,19 +223,19 @@
       shard
           .submit(entry)
           .subscribe()
-          .with(result -> decided(shard, entry, result), failure -> giveUp(shard, entry));
+          .with(result -> handleResult(shard, entry, result), failure -> abandon(shard, entry));
       if (random.nextInt(4) == 0) {
-        Shard second = writers.get(random.nextInt(WRITERS));
-        second
+        Shard duplicateWriter = writers.get(random.nextInt(WRITERS));
+        duplicateWriter
             .submit(entry)
             .subscribe()
-            .with(result -> decided(shard, entry, result), failure -> {});
+            .with(result -> handleResult(shard, entry, result), failure -> {});
       }
     }
 
-    private void decided(Shard shard, LedgerEntry.Claim claim, LedgerResult result) {
+    private void handleResult(Shard shard, LedgerEntry.Claim claim, LedgerResult result) {
       boolean granted = result.kind() == LedgerResult.Kind.GRANTED;
-      if (!granted || givenUp.contains(claim.attempt())) {
+      if (!granted || abandonedAttempts.contains(claim.attempt())) {
         return;
       }
       runs.computeIfAbsent(claim.key(), unused -> new HashSet<>()).add(claim.attempt());
@@ -245,12 +245,12 @@
       }
     }
 
-    private void giveUp(Shard shard, LedgerEntry.Claim claim) {
+    private void abandon(Shard shard, LedgerEntry.Claim claim) {
       Set<String> ran = runs.getOrDefault(claim.key(), Set.of());
       if (!ran.contains(claim.attempt())) {
-        givenUp.add(claim.attempt());
-        LedgerEntry given = new LedgerEntry.Void(claim.key(), claim.attempt());
-        shard.submit(given).subscribe().with(done -> {}, failure -> {});
+        abandonedAttempts.add(claim.attempt());
+        LedgerEntry voidEntry = new LedgerEntry.Void(claim.key(), claim.attempt());
+        shard.submit(voidEntry).subscribe().with(done -> {}, failure -> {});
       }
     }
 
@@ -275,7 +275,7 @@
       }
     }
 
-    Optional<String> overrun() {
+    Optional<String> keyRunTwice() {
       return runs.entrySet().stream()
           .filter(entry -> entry.getValue().size() > 1)
           .map(Map.Entry::getKey)
--- a/org.oatlug/src/org/oatlug/internal/billing/Bill.java
+++ b/org.oatlug/src/org/oatlug/internal/billing/Bill.java
@@ -4,18 +4,18 @@
 package org.oatlug.internal.billing;
 
 /**
- * What a request costs its workspace. Immutable.
+ * Bill of a request to its workspace. Immutable.
  *
- * @param id the request id; the ledger takes one bill for an id
+ * @param id the request id; the ledger records at most one bill per id
  * @param workspace the workspace
- * @param version the version or application that answered
- * @param promptTokens tokens of the prompt
- * @param answerTokens tokens of the answer so far
- * @param cost in millionths of the billing unit
- * @param complete whether the answer is complete
- * @param process the process that answers the request, a name and an epoch
- * @param bornMillis when the request came, in milliseconds since 1970; the same in all forms of a
- *     bill
+ * @param version the version or application that served the request
+ * @param promptTokens number of tokens of the prompt
+ * @param answerTokens number of tokens generated so far
+ * @param cost the cost in millionths of the billing unit
+ * @param complete whether the response is complete
+ * @param process the process that handles the request, as name and epoch
+ * @param bornMillis arrival time of the request, in milliseconds since 1970; the same in all
+ *     versions of a bill
  */
 public record Bill(
     String id,
--- a/org.oatlug/src/org/oatlug/internal/billing/BillingSystem.java
+++ b/org.oatlug/src/org/oatlug/internal/billing/BillingSystem.java
@@ -28,33 +28,34 @@
 import org.oatlug.internal.util.TickSystem;
 
 /**
- * Keeps bills until the ledger has them.
+ * Stores bills until the ledger has confirmed them.
  *
- * <p>A bill is held by two witnesses from before the dispatch until the ledger confirmed it. The
- * process that answers the request submits the settled bill; when that process is gone, a witness
- * submits what it holds. The ledger takes the first bill of an id, so both may submit. Bills wait
- * here when the platform is away, up to a bound. Owned by one event loop, not thread-safe.
+ * <p>A bill is replicated to two witnesses from before the dispatch until the ledger has confirmed
+ * it. The process that handles the request submits the settled bill; if that process is lost, a
+ * witness submits its copy. The ledger records only the first bill of an id, so both may submit.
+ * While the platform is unavailable, bills are queued here up to a maximum. Owned by one event
+ * loop, not thread-safe.
  */
 public final class BillingSystem implements TickSystem {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-  private static final int MAXIMUM_HELD = 20_000;
-  private static final int SUBMITTED_AT_ONCE = 256;
+  private static final int MAXIMUM_BILLS = 20_000;
+  private static final int MAXIMUM_CONCURRENT_SUBMISSIONS = 256;
   private static final int WITNESSES = 2;
-  private static final Duration WITNESS_PATIENCE = Duration.ofMillis(300);
+  private static final Duration WITNESS_TIMEOUT = Duration.ofMillis(300);
   private static final Duration RETRY_INTERVAL = Duration.ofMillis(500);
-  private static final Duration FORGET_DROPPED = Duration.ofMinutes(2);
+  private static final Duration DROPPED_RETENTION = Duration.ofMinutes(2);
 
   private final Membership membership;
   private final PeerNetwork network;
   private final Function<LedgerEntry, Uni<LedgerResult>> ledger;
   private final InstantSource clock;
   private final Meters meters;
-  private final Map<String, Bill> own = new TreeMap<>();
+  private final Map<String, Bill> ownBills = new TreeMap<>();
   private final Map<String, List<Member>> witnesses = new HashMap<>();
-  private final Map<String, Bill> held = new TreeMap<>();
-  private final Map<String, Instant> dropped = new HashMap<>();
+  private final Map<String, Bill> heldBills = new TreeMap<>();
+  private final Map<String, Instant> droppedAt = new HashMap<>();
   private final Set<String> submitting = new HashSet<>();
-  private Instant next = Instant.EPOCH;
+  private Instant nextRetry = Instant.EPOCH;
 
   private BillingSystem(
       Membership membership,
@@ -70,9 +71,9 @@
   }
 
   /**
-   * Returns a system that holds nothing.
+   * Creates an instance without bills.
    *
-   * @param ledger enters an entry and waits for its confirmation
+   * @param ledger submits an entry and completes when it is confirmed
    */
   public static BillingSystem create(
       Membership membership,
@@ -83,57 +84,57 @@
     return new BillingSystem(membership, network, ledger, clock, meters);
   }
 
-  /** Returns whether no more bills may be opened until the platform has taken some. */
+  /** Returns whether the maximum number of bills is reached, so that no more may be opened. */
   public boolean isFull() {
-    return own.size() + held.size() >= MAXIMUM_HELD;
+    return ownBills.size() + heldBills.size() >= MAXIMUM_BILLS;
   }
 
-  /** Returns the number of bills of this instance that are not confirmed. */
+  /** Returns the number of settled bills of this instance that are not confirmed. */
   public int unconfirmed() {
-    return own.size();
+    return ownBills.size();
   }
 
-  /** Returns the number of bills held for others. */
+  /** Returns the number of bills held as a witness for other instances. */
   public int held() {
-    return held.size();
+    return heldBills.size();
   }
 
-  /** Opens a bill; the result comes when a witness holds it, or none can be reached. */
+  /** Opens a bill; completes when a witness has acknowledged it, or none is reachable. */
   public Uni<Void> open(Bill intent) {
-    List<Member> chosen = chooseWitnesses(intent.id());
-    witnesses.put(intent.id(), chosen);
-    if (chosen.isEmpty()) {
+    List<Member> selected = chooseWitnesses(intent.id());
+    witnesses.put(intent.id(), selected);
+    if (selected.isEmpty()) {
       meters.count("bill.without-witness");
     }
-    return tellWitnesses(intent);
+    return sendToWitnesses(intent);
   }
 
-  /** Tells the witnesses how far the answer came; nothing waits for it. */
-  public void progress(Bill soFar) {
-    tellWitnesses(soFar).subscribe().with(unused -> {}, failure -> {});
+  /** Sends the current state of a bill to the witnesses without waiting for acknowledgement. */
+  public void progress(Bill currentBill) {
+    sendToWitnesses(currentBill).subscribe().with(unused -> {}, failure -> {});
   }
 
-  /** Settles a bill; the result comes when a witness holds it, or none can be reached. */
+  /** Settles a bill; completes when a witness has acknowledged it, or none is reachable. */
   public Uni<Void> settle(Bill settled) {
-    own.put(settled.id(), settled);
-    return tellWitnesses(settled);
+    ownBills.put(settled.id(), settled);
+    return sendToWitnesses(settled);
   }
 
   /** Cancels the bill of a request that did not run. */
   public void cancel(String id) {
-    own.remove(id);
-    tellDropped(id);
+    ownBills.remove(id);
+    sendDrop(id);
   }
 
-  /** Takes in the bills of other instances. */
+  /** Handles the bill messages of other instances. */
   public PeerMessage handle(PeerMessage message) {
     if (message instanceof PeerMessage.HoldBill hold) {
       return hold(hold.bill());
     }
     PeerMessage.DropBills drop = (PeerMessage.DropBills) message;
     for (String id : drop.ids()) {
-      held.remove(id);
-      dropped.put(id, clock.instant());
+      heldBills.remove(id);
+      droppedAt.put(id, clock.instant());
     }
     return new PeerMessage.Done();
   }
@@ -141,15 +142,15 @@
   @Override
   public void tick() {
     Instant now = clock.instant();
-    if (now.isBefore(next)) {
+    if (now.isBefore(nextRetry)) {
       return;
     }
-    next = now.plus(RETRY_INTERVAL);
-    dropped.values().removeIf(since -> since.plus(FORGET_DROPPED).isBefore(now));
-    for (Bill bill : List.copyOf(own.values())) {
+    nextRetry = now.plus(RETRY_INTERVAL);
+    droppedAt.values().removeIf(dropTime -> dropTime.plus(DROPPED_RETENTION).isBefore(now));
+    for (Bill bill : List.copyOf(ownBills.values())) {
       submit(bill);
     }
-    for (Bill bill : List.copyOf(held.values())) {
+    for (Bill bill : List.copyOf(heldBills.values())) {
       if (membership.isLost(bill.process())) {
         submit(bill);
       }
@@ -157,87 +158,94 @@
   }
 
   private PeerMessage hold(Bill bill) {
-    if (dropped.containsKey(bill.id())) {
+    if (droppedAt.containsKey(bill.id())) {
       return new PeerMessage.Done();
     }
-    if (isFull() && !held.containsKey(bill.id())) {
+    if (isFull() && !heldBills.containsKey(bill.id())) {
       meters.count("bill.witness-full");
       return new PeerMessage.Failed("full");
     }
-    held.merge(bill.id(), bill, BillingSystem::further);
+    heldBills.merge(bill.id(), bill, BillingSystem::moreAdvanced);
     return new PeerMessage.Done();
   }
 
-  private static Bill further(Bill one, Bill other) {
-    if (one.complete() != other.complete()) {
-      return one.complete() ? one : other;
+  private static Bill moreAdvanced(Bill existing, Bill received) {
+    if (existing.complete() != received.complete()) {
+      return existing.complete() ? existing : received;
     }
-    return other.answerTokens() >= one.answerTokens() ? other : one;
+    return received.answerTokens() >= existing.answerTokens() ? received : existing;
   }
 
   private void submit(Bill bill) {
-    if (submitting.size() >= SUBMITTED_AT_ONCE || !submitting.add(bill.id())) {
+    if (submitting.size() >= MAXIMUM_CONCURRENT_SUBMISSIONS || !submitting.add(bill.id())) {
       return;
     }
     ledger
         .apply(new LedgerEntry.Billed(bill))
         .subscribe()
         .with(
-            result -> entered(bill.id(), result),
+            result -> confirmed(bill.id(), result),
             failure -> {
               submitting.remove(bill.id());
               meters.count("retry.bill");
             });
   }
 
-  private void entered(String id, LedgerResult result) {
+  private void confirmed(String id, LedgerResult result) {
     if (result.kind() == LedgerResult.Kind.EXPIRED) {
       meters.count("bill.expired");
-      logger.atSevere().log("bill %s waited longer than ids are kept and is not entered", id);
+      logger.atSevere().log(
+          "bill %s is older than the retention of bill ids and was not recorded", id);
     }
     submitting.remove(id);
-    own.remove(id);
-    held.remove(id);
+    ownBills.remove(id);
+    heldBills.remove(id);
     meters.count("bill.confirmed");
-    tellDropped(id);
+    sendDrop(id);
   }
 
-  private void tellDropped(String id) {
-    List<Member> chosen = witnesses.remove(id);
-    if (chosen == null) {
+  private void sendDrop(String id) {
+    List<Member> selected = witnesses.remove(id);
+    if (selected == null) {
       return;
     }
     PeerMessage message = new PeerMessage.DropBills(List.of(id));
-    for (Member witness : chosen) {
-      network.ask(witness, message, WITNESS_PATIENCE).subscribe().with(a -> {}, failure -> {});
+    for (Member witness : selected) {
+      network
+          .ask(witness, message, WITNESS_TIMEOUT)
+          .subscribe()
+          .with(response -> {}, failure -> {});
     }
   }
 
-  private Uni<Void> tellWitnesses(Bill bill) {
-    List<Uni<PeerMessage>> told = new ArrayList<>();
+  private Uni<Void> sendToWitnesses(Bill bill) {
+    List<Uni<PeerMessage>> requests = new ArrayList<>();
     for (Member witness : witnesses.getOrDefault(bill.id(), List.of())) {
-      told.add(network.ask(witness, new PeerMessage.HoldBill(bill), WITNESS_PATIENCE));
+      requests.add(network.ask(witness, new PeerMessage.HoldBill(bill), WITNESS_TIMEOUT));
     }
-    if (told.isEmpty()) {
+    if (requests.isEmpty()) {
       return Uni.createFrom().voidItem();
     }
-    return Uni.join().first(told).withItem().replaceWithVoid().onFailure().recoverWithNull();
+    return Uni.join().first(requests).withItem().replaceWithVoid().onFailure().recoverWithNull();
   }
 
-  /** Returns two witnesses by rank, one in another zone and one on another rack where there are. */
+  /**
+   * Returns two witnesses by rank, if possible one in another availability zone and one on another
+   * rack of this zone.
+   */
   private List<Member> chooseWitnesses(String id) {
-    List<Member> chosen = new ArrayList<>();
-    first(id, reachable(membership.remotePeers())).ifPresent(chosen::add);
-    List<Member> zone = new ArrayList<>(reachable(membership.zonePeers()));
+    List<Member> selected = new ArrayList<>();
+    highestRanked(id, reachable(membership.remotePeers())).ifPresent(selected::add);
+    List<Member> localPeers = new ArrayList<>(reachable(membership.zonePeers()));
     List<Member> otherRack =
-        zone.stream().filter(peer -> !peer.rack().equals(membership.self().rack())).toList();
-    first(id, otherRack.isEmpty() ? zone : otherRack).ifPresent(chosen::add);
-    if (chosen.size() < WITNESSES) {
-      List<Member> rest = new ArrayList<>(reachable(membership.remotePeers()));
-      rest.removeAll(chosen);
-      first(id, rest).ifPresent(chosen::add);
+        localPeers.stream().filter(peer -> !peer.rack().equals(membership.self().rack())).toList();
+    highestRanked(id, otherRack.isEmpty() ? localPeers : otherRack).ifPresent(selected::add);
+    if (selected.size() < WITNESSES) {
+      List<Member> remaining = new ArrayList<>(reachable(membership.remotePeers()));
+      remaining.removeAll(selected);
+      highestRanked(id, remaining).ifPresent(selected::add);
     }
-    return chosen;
+    return selected;
   }
 
   private List<Member> reachable(List<Member> peers) {
@@ -247,7 +255,7 @@
         .toList();
   }
 
-  private static Optional<Member> first(String id, List<Member> peers) {
+  private static Optional<Member> highestRanked(String id, List<Member> peers) {
     List<String> names = peers.stream().map(Member::name).toList();
     List<String> ranked = Hashes.rendezvous(id, names);
     return peers.stream()
--- a/org.oatlug/src/org/oatlug/internal/billing/package-info.java
+++ b/org.oatlug/src/org/oatlug/internal/billing/package-info.java
@@ -1,2 +1,2 @@
-/** Bills that two witnesses hold until the ledger has them. */
+/** Bills, replicated to two witnesses until the ledger has confirmed them. */
 package org.oatlug.internal.billing;
--- a/org.oatlug/src/org/oatlug/internal/ledger/BilledIds.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/BilledIds.java
@@ -11,31 +11,32 @@
 import org.oatlug.internal.util.Hashes;
 
 /**
- * The ids that were billed, by the hour of their birth, as 64-bit hashes.
+ * Set of billed request ids, stored as 64-bit hashes and grouped by the hour of the request.
  *
- * <p>A bill has the same birth in all its forms, so its id is looked for in one hour only. Two ids
- * of an hour have the same hash with a probability of {@code n * n / 2^65}: for 300,000 ids an hour
- * once in 46,000 years. Owned by one event loop, not thread-safe.
+ * <p>All versions of a bill carry the same request time, so only one hour is searched for an id.
+ * The probability that two of {@code n} ids of an hour have the same hash is {@code n * n / 2^65}:
+ * at 300,000 ids per hour one collision is expected in 46,000 years. Owned by one event loop, not
+ * thread-safe.
  */
 final class BilledIds {
   private static final long HOUR_MILLIS = Duration.ofHours(1).toMillis();
 
-  private final TreeMap<Long, LongSet> hours = new TreeMap<>();
+  private final TreeMap<Long, LongSet> idsByHour = new TreeMap<>();
 
-  /** Adds the bill's id, and returns false if it was there. */
+  /** Adds the id of the bill; returns false if it is already present. */
   boolean add(Bill bill) {
     long hour = Math.floorDiv(bill.bornMillis(), HOUR_MILLIS);
-    LongSet ids = hours.computeIfAbsent(hour, unused -> new LongOpenHashSet());
+    LongSet ids = idsByHour.computeIfAbsent(hour, unused -> new LongOpenHashSet());
     return ids.add(Hashes.hash64(bill.id()));
   }
 
-  /** Forgets the hours that ended before {@code millis}. */
-  void forgetBefore(long millis) {
-    hours.headMap(Math.floorDiv(millis, HOUR_MILLIS)).clear();
+  /** Removes the hours that ended before {@code millis}. */
+  void removeBefore(long millis) {
+    idsByHour.headMap(Math.floorDiv(millis, HOUR_MILLIS)).clear();
   }
 
   /** Returns the number of ids. */
   int size() {
-    return hours.values().stream().mapToInt(LongSet::size).sum();
+    return idsByHour.values().stream().mapToInt(LongSet::size).sum();
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/ledger/ClaimDesk.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/ClaimDesk.java
@@ -22,15 +22,15 @@
 import org.oatlug.internal.util.TickSystem;
 
 /**
- * Claims requests that may run at most once, and records how they ended.
+ * Claims idempotency keys of requests that may run at most once, and records their outcomes.
  *
- * <p>Invariants: an attempt is dispatched only after its claim was granted while it was still
- * wanted. An attempt that was given up is never dispatched, even if the grant comes late; it is
- * voided, so that the caller's retry may run. A void or an outcome that cannot be entered is tried
- * again until it is. Owned by one event loop, not thread-safe.
+ * <p>Invariants: an attempt is dispatched only after its claim was granted and while it is not
+ * abandoned. An abandoned attempt is never dispatched, even if the grant arrives late; it is
+ * voided, so that a retry by the caller may run. A void or an outcome that cannot be recorded is
+ * retried until it succeeds. Owned by one event loop, not thread-safe.
  */
 public final class ClaimDesk implements TickSystem {
-  private static final Duration COME_BACK = Duration.ofSeconds(2);
+  private static final Duration RETRY_AFTER = Duration.ofSeconds(2);
   private static final Duration RETRY_INTERVAL = Duration.ofMillis(500);
   private static final int MAXIMUM_UNRECORDED = 10_000;
 
@@ -53,9 +53,9 @@
   }
 
   /**
-   * Returns a desk.
+   * Creates an instance.
    *
-   * @param ledger enters an entry and waits for its confirmation
+   * @param ledger submits an entry and completes when it is confirmed
    */
   public static ClaimDesk create(
       Function<LedgerEntry, Uni<LedgerResult>> ledger,
@@ -66,11 +66,11 @@
   }
 
   /**
-   * A granted claim, or the recorded outcome of an earlier request with the key.
+   * A granted claim, or the recorded outcome of an earlier request with the same key.
    *
-   * @param key the key
+   * @param key the claimed key
    * @param attempt the attempt that may be dispatched
-   * @param recorded the outcome to answer with, empty if the attempt may be dispatched
+   * @param recorded the outcome to return to the caller, empty if the attempt may be dispatched
    */
   public record Claim(String key, String attempt, Optional<LedgerEntry.Outcome> recorded) {}
 
@@ -79,7 +79,7 @@
    *
    * <p>Fails with {@link RefusedException} when the request must not run.
    *
-   * @param key workspace and the caller's key
+   * @param key the workspace and the caller's idempotency key
    * @param fingerprint a hash of the request
    */
   public Uni<Claim> claim(String key, String fingerprint) {
@@ -90,28 +90,30 @@
     return ledger
         .apply(entry)
         .onFailure()
-        .transform(unused -> giveUp(key, attempt))
+        .transform(unused -> voidAttempt(key, attempt))
         .onItem()
-        .transformToUni(result -> judge(entry, result));
+        .transformToUni(result -> toClaim(entry, result));
   }
 
-  /** Gives up an attempt that was not dispatched. */
+  /** Voids the claim of an attempt that was not dispatched. */
   public void release(Claim claim) {
     record(new LedgerEntry.Void(claim.key(), claim.attempt()));
   }
 
-  /** Records how a claimed request ended; the result comes when it is confirmed or was queued. */
+  /**
+   * Records the outcome of a claimed request; completes when it is confirmed or queued for retry.
+   */
   public Uni<Void> end(LedgerEntry.Outcome outcome) {
     return ledger
         .apply(outcome)
         .onFailure()
-        .invoke(unused -> queue(outcome))
+        .invoke(unused -> enqueue(outcome))
         .onFailure()
         .recoverWithNull()
         .replaceWithVoid();
   }
 
-  /** Returns the number of outcomes and voids that are not entered yet. */
+  /** Returns the number of outcomes and voids that are queued for retry. */
   public int unrecorded() {
     return unrecorded.size();
   }
@@ -129,43 +131,44 @@
     }
   }
 
-  private RefusedException giveUp(String key, String attempt) {
+  private RefusedException voidAttempt(String key, String attempt) {
     record(new LedgerEntry.Void(key, attempt));
-    String text = ErrorText.get().ledgerUnavailable;
+    String detail = ErrorText.get().ledgerUnavailable;
     return new RefusedException(
-        Refusal.retryAfter(RefusalReason.LEDGER_UNAVAILABLE, text, COME_BACK));
+        Refusal.retryAfter(RefusalReason.LEDGER_UNAVAILABLE, detail, RETRY_AFTER));
   }
 
-  private Uni<Claim> judge(LedgerEntry.Claim entry, LedgerResult result) {
+  private Uni<Claim> toClaim(LedgerEntry.Claim entry, LedgerResult result) {
     return switch (result.kind()) {
       case GRANTED ->
           Uni.createFrom().item(new Claim(entry.key(), entry.attempt(), Optional.empty()));
-      case ENDED -> ended(entry, result.outcome().orElseThrow());
-      case TAKEN -> refuse(taken(result.process().orElseThrow()));
+      case ENDED -> claimOfEnded(entry, result.outcome().orElseThrow());
+      case TAKEN -> refuse(refusalOfTaken(result.process().orElseThrow()));
       case REUSED -> refuse(Refusal.notRun(RefusalReason.KEY_REUSED, ErrorText.get().keyReused));
       default -> refuse(Refusal.notRun(RefusalReason.KEY_EXPIRED, ErrorText.get().keyExpired));
     };
   }
 
-  private Uni<Claim> ended(LedgerEntry.Claim entry, LedgerEntry.Outcome outcome) {
+  private Uni<Claim> claimOfEnded(LedgerEntry.Claim entry, LedgerEntry.Outcome outcome) {
     return switch (outcome.kind()) {
       case ANSWERED ->
           Uni.createFrom().item(new Claim(entry.key(), entry.attempt(), Optional.of(outcome)));
       case ANSWER_NOT_KEPT -> {
-        String text = ErrorText.get().answerLost;
-        yield refuse(new Refusal(RefusalReason.ANSWER_LOST, NotRun.NO, text, Optional.empty()));
+        String detail = ErrorText.get().answerLost;
+        yield refuse(new Refusal(RefusalReason.ANSWER_LOST, NotRun.NO, detail, Optional.empty()));
       }
       case MAY_HAVE_RUN ->
           refuse(Refusal.unknown(RefusalReason.MAY_HAVE_RUN, ErrorText.get().mayHaveRun));
     };
   }
 
-  private Refusal taken(String process) {
+  private Refusal refusalOfTaken(String process) {
     if (membership.isLost(process)) {
       return Refusal.unknown(RefusalReason.MAY_HAVE_RUN, ErrorText.get().mayHaveRun);
     }
-    String text = ErrorText.get().stillRunning;
-    return new Refusal(RefusalReason.STILL_RUNNING, NotRun.UNKNOWN, text, Optional.of(COME_BACK));
+    String detail = ErrorText.get().stillRunning;
+    return new Refusal(
+        RefusalReason.STILL_RUNNING, NotRun.UNKNOWN, detail, Optional.of(RETRY_AFTER));
   }
 
   private static Uni<Claim> refuse(Refusal refusal) {
@@ -173,10 +176,10 @@
   }
 
   private void record(LedgerEntry entry) {
-    ledger.apply(entry).subscribe().with(result -> {}, failure -> queue(entry));
+    ledger.apply(entry).subscribe().with(result -> {}, failure -> enqueue(entry));
   }
 
-  private void queue(LedgerEntry entry) {
+  private void enqueue(LedgerEntry entry) {
     if (unrecorded.size() >= MAXIMUM_UNRECORDED) {
       meters.count("ledger.unrecorded-dropped");
       return;
--- a/org.oatlug/src/org/oatlug/internal/ledger/Ledger.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/Ledger.java
@@ -23,19 +23,20 @@
 import org.oatlug.platform.Platform;
 
 /**
- * The way from any instance to the shard of a key.
+ * Routes ledger entries from any instance to the shard of their key.
  *
- * <p>Claims and bills have shards of their own, so that a new owner of claims need not read bills
- * before it answers; bills are written less often and in larger segments. An entry goes to the
+ * <p>Claims and bills use separate shards, so that a new owner of a claim shard need not read bills
+ * before it responds; bills are written less often and in larger segments. An entry is sent to the
  * owner of the shard, the first live instance by rendezvous rank, which batches the writes of all
- * instances. If the owner does not answer, this instance writes itself: ownership saves writes, it
- * is no part of the safety argument. Owned by one event loop, not thread-safe.
+ * instances. If the owner does not respond, this instance writes the entry itself: ownership
+ * reduces the number of writes, and safety does not depend on it. Owned by one event loop, not
+ * thread-safe.
  */
 public final class Ledger {
-  private static final Duration OWNER_PATIENCE = Duration.ofMillis(700);
-  private static final Duration ENTRY_PATIENCE = Duration.ofMillis(2000);
+  private static final Duration OWNER_TIMEOUT = Duration.ofMillis(700);
+  private static final Duration CLAIM_TIMEOUT = Duration.ofMillis(2000);
   private static final Duration BILL_INTERVAL = Duration.ofSeconds(1);
-  private static final Duration BILL_PATIENCE = Duration.ofSeconds(4);
+  private static final Duration BILL_TIMEOUT = Duration.ofSeconds(4);
   private static final int CLAIM_HEAD_BYTES = 64 * 1024;
   private static final int BILL_HEAD_BYTES = 256 * 1024;
 
@@ -51,7 +52,7 @@
     this.meters = meters;
   }
 
-  /** Returns the ledger as this instance reaches it. */
+  /** Creates the ledger client of this instance. */
   public static Ledger create(
       Settings.Ledger settings,
       Platform platform,
@@ -62,9 +63,9 @@
     Ledger ledger = new Ledger(membership, network, Meters.of(metrics));
     Duration retention = Duration.ofHours(settings.retentionHours());
     Shard.Options claims =
-        new Shard.Options(retention, claimInterval(settings), ENTRY_PATIENCE, CLAIM_HEAD_BYTES);
+        new Shard.Options(retention, claimInterval(settings), CLAIM_TIMEOUT, CLAIM_HEAD_BYTES);
     Shard.Options bills =
-        new Shard.Options(retention, BILL_INTERVAL, BILL_PATIENCE, BILL_HEAD_BYTES);
+        new Shard.Options(retention, BILL_INTERVAL, BILL_TIMEOUT, BILL_HEAD_BYTES);
     for (int number = 0; number < settings.shards(); number++) {
       String claimName = claimShard(number);
       String billName = billShard(number);
@@ -82,30 +83,33 @@
     return "bills-" + number;
   }
 
-  /** Returns the time between two writes of a claim shard that keeps all shards in their share. */
+  /**
+   * Returns the interval between two writes of a claim shard that keeps all shards together within
+   * the configured writes per second.
+   */
   static Duration claimInterval(Settings.Ledger settings) {
-    int forClaims = Math.max(1, settings.writesPerSecond() - settings.shards());
-    return Duration.ofSeconds(1).multipliedBy(settings.shards()).dividedBy(forClaims);
+    int claimWritesPerSecond = Math.max(1, settings.writesPerSecond() - settings.shards());
+    return Duration.ofSeconds(1).multipliedBy(settings.shards()).dividedBy(claimWritesPerSecond);
   }
 
   /**
-   * Enters an entry and waits for its confirmation.
+   * Submits an entry and completes when it is confirmed.
    *
-   * <p>Fails with {@link LedgerUnavailableException} when it is not known to be recorded; it may
-   * then still take effect.
+   * <p>Fails with {@link LedgerUnavailableException} when the entry is not known to be recorded; it
+   * may still take effect.
    */
   public Uni<LedgerResult> submit(LedgerEntry entry) {
-    boolean billed = entry instanceof LedgerEntry.Billed;
+    boolean isBill = entry instanceof LedgerEntry.Billed;
     int number = Math.floorMod(Hashes.hash64("shard", entry.key()), claims.size());
-    String name = billed ? billShard(number) : claimShard(number);
-    Shard shard = billed ? bills.get(name) : claims.get(name);
-    Duration patience = billed ? BILL_PATIENCE : OWNER_PATIENCE;
+    String name = isBill ? billShard(number) : claimShard(number);
+    Shard shard = isBill ? bills.get(name) : claims.get(name);
+    Duration timeout = isBill ? BILL_TIMEOUT : OWNER_TIMEOUT;
     Optional<Member> owner = membership.ownerOf(name);
     if (owner.isEmpty() || membership.isSelf(owner.get())) {
       return shard.submit(entry);
     }
     return network
-        .ask(owner.get(), new PeerMessage.Submit(name, List.of(entry)), patience)
+        .ask(owner.get(), new PeerMessage.Submit(name, List.of(entry)), timeout)
         .onItem()
         .transformToUni(Ledger::firstResult)
         .onFailure()
@@ -116,7 +120,7 @@
             });
   }
 
-  /** Enters the entries of another instance. */
+  /** Submits the entries received from another instance. */
   public Uni<PeerMessage> submitted(PeerMessage.Submit message) {
     Shard shard = claims.getOrDefault(message.shard(), bills.get(message.shard()));
     if (shard == null) {
@@ -132,14 +136,14 @@
     return Uni.join().all(results).andFailFast().map(PeerMessage.Submitted::new);
   }
 
-  /** Lets each shard write. */
+  /** Runs the periodic work of each shard. */
   public void tick() {
     claims.values().forEach(Shard::tick);
     bills.values().forEach(Shard::tick);
   }
 
-  private static Uni<LedgerResult> firstResult(PeerMessage answer) {
-    if (answer instanceof PeerMessage.Submitted submitted && !submitted.results().isEmpty()) {
+  private static Uni<LedgerResult> firstResult(PeerMessage response) {
+    if (response instanceof PeerMessage.Submitted submitted && !submitted.results().isEmpty()) {
       return Uni.createFrom().item(submitted.results().get(0));
     }
     return Uni.createFrom().failure(new LedgerUnavailableException(null));
--- a/org.oatlug/src/org/oatlug/internal/ledger/LedgerEntry.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/LedgerEntry.java
@@ -8,10 +8,10 @@
 import org.oatlug.internal.billing.Bill;
 
 /**
- * An entry of the ledger. Immutable.
+ * Entry of the ledger. Immutable.
  *
  * <p>Invariant: applying an entry twice has the effect of applying it once, so an entry whose
- * confirmation was lost can be submitted again.
+ * confirmation was lost can be resubmitted.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "t")
 @JsonSubTypes({
@@ -23,42 +23,42 @@
 })
 public sealed interface LedgerEntry {
 
-  /** Returns the key that chooses the shard. */
+  /** Returns the key that determines the shard. */
   String key();
 
   /**
-   * Asks for the right to run a request that may run at most once.
+   * Claims the right to run a request that may run at most once.
    *
-   * @param key workspace and the caller's key
-   * @param attempt the attempt; only the process that made it may run it
+   * @param key the workspace and the caller's idempotency key
+   * @param attempt the attempt id; only the process that created it may run it
    * @param fingerprint a hash of the request
-   * @param process the process that asks
-   * @param bornMillis when it asked, in milliseconds since 1970
+   * @param process the process that makes the claim
+   * @param bornMillis time of the claim, in milliseconds since 1970
    */
   record Claim(String key, String attempt, String fingerprint, String process, long bornMillis)
       implements LedgerEntry {}
 
   /**
-   * Gives up an attempt that was not and will not be dispatched.
+   * Voids an attempt that was not and will not be dispatched.
    *
    * @param key the key of the claim
-   * @param attempt the attempt
+   * @param attempt the attempt id
    */
   record Void(String key, String attempt) implements LedgerEntry {}
 
   /**
-   * Records how a claimed request ended.
+   * Records the outcome of a claimed request.
    *
    * @param key the key of the claim
-   * @param attempt the attempt
-   * @param kind what is known of the end
-   * @param status the HTTP status of the answer
-   * @param contentType the type of the answer
-   * @param body the answer, empty if it was not kept
+   * @param attempt the attempt id
+   * @param kind whether the request ran and whether its response is recorded
+   * @param status the HTTP status of the response
+   * @param contentType the content type of the response
+   * @param body the response body, empty if it was not recorded
    */
   record Outcome(String key, String attempt, Kind kind, int status, String contentType, String body)
       implements LedgerEntry {
-    /** What is known of the end of a claimed request. */
+    /** Kind of the outcome of a claimed request. */
     public enum Kind {
       ANSWERED,
       ANSWER_NOT_KEPT,
@@ -79,9 +79,9 @@
   }
 
   /**
-   * Binds a session that the caller named to a version.
+   * Binds a session with a caller-supplied name to a version.
    *
-   * @param key workspace, session and model
+   * @param key the workspace, session and model
    * @param version the version
    */
   record Binding(String key, String version) implements LedgerEntry {}
--- a/org.oatlug/src/org/oatlug/internal/ledger/LedgerReader.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/LedgerReader.java
@@ -14,7 +14,7 @@
 import org.oatlug.platform.Platform;
 import org.oatlug.platform.StoredObject;
 
-/** Reads the bills of all shards from the platform. Immutable, thread-safe as its platform is. */
+/** Reads the bills of all shards from the platform. Immutable, as thread-safe as its platform. */
 public final class LedgerReader {
   private final Platform platform;
 
@@ -22,41 +22,42 @@
     this.platform = platform;
   }
 
-  /** Returns a reader of a platform. */
+  /** Creates a reader of a platform. */
   public static LedgerReader of(Platform platform) {
     return new LedgerReader(platform);
   }
 
-  /** Returns the bills of so many shards. */
+  /** Returns the bills of the first {@code shards} bill shards. */
   public Uni<List<Bill>> bills(int shards) {
-    Uni<List<Bill>> all = Uni.createFrom().item(new ArrayList<>());
+    Uni<List<Bill>> result = Uni.createFrom().item(new ArrayList<>());
     for (int shard = 0; shard < shards; shard++) {
       ObjectKey key = ObjectKey.valueOf(Shard.KIND, Ledger.billShard(shard));
-      all = all.onItem().transformToUni(bills -> readHead(key, bills));
+      result = result.onItem().transformToUni(bills -> readHead(key, bills));
     }
-    return all;
+    return result;
   }
 
   private Uni<List<Bill>> readHead(ObjectKey key, List<Bill> bills) {
-    return platform.get(key).onItem().transformToUni(found -> readSegments(found, bills));
+    return platform.get(key).onItem().transformToUni(storedHead -> readSegments(storedHead, bills));
   }
 
-  private Uni<List<Bill>> readSegments(Optional<StoredObject> found, List<Bill> bills) {
-    if (found.isEmpty()) {
+  private Uni<List<Bill>> readSegments(Optional<StoredObject> storedHead, List<Bill> bills) {
+    if (storedHead.isEmpty()) {
       return Uni.createFrom().item(bills);
     }
-    ShardHead head = parse(found.get(), ShardHead.class);
+    ShardHead head = parse(storedHead.get(), ShardHead.class);
     addBills(head.entries(), bills);
-    Uni<List<Bill>> all = Uni.createFrom().item(bills);
+    Uni<List<Bill>> result = Uni.createFrom().item(bills);
     for (ShardHead.Segment segment : head.segments()) {
       ObjectKey key = ObjectKey.valueOf(Shard.KIND, segment.name());
-      all =
-          all.onItem()
+      result =
+          result
+              .onItem()
               .transformToUni(
-                  sofar ->
-                      platform.get(key).map(object -> addSegment(object.orElseThrow(), sofar)));
+                  collected ->
+                      platform.get(key).map(object -> addSegment(object.orElseThrow(), collected)));
     }
-    return all;
+    return result;
   }
 
   private static List<Bill> addSegment(StoredObject object, List<Bill> bills) {
--- a/org.oatlug/src/org/oatlug/internal/ledger/LedgerResult.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/LedgerResult.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 
 /**
- * What became of an entry. Immutable.
+ * Result of applying an entry. Immutable.
  *
- * @param kind the result
+ * @param kind the kind of result
  * @param process the process that holds the claim, for {@link Kind#TAKEN}
  * @param outcome the recorded outcome, for {@link Kind#ENDED}
  * @param bound the version that the session is bound to, for {@link Kind#BOUND}
@@ -19,25 +19,25 @@
     Optional<LedgerEntry.Outcome> outcome,
     Optional<String> bound) {
 
-  /** What became of an entry. */
+  /** Kind of result. */
   public enum Kind {
-    /** The claim holds; the attempt may be dispatched. */
+    /** The attempt holds the claim and may be dispatched. */
     GRANTED,
     /** Another attempt holds the claim. */
     TAKEN,
-    /** The claimed request ended. */
+    /** The claimed request has a recorded outcome. */
     ENDED,
-    /** The key was used for another request. */
+    /** The key was already used for a different request. */
     REUSED,
-    /** The attempt was given up before. */
+    /** The attempt was voided before. */
     VOIDED,
-    /** The claim is older than the retention. */
+    /** The claim or bill is older than the retention. */
     EXPIRED,
     /** The entry is recorded. */
     RECORDED,
-    /** An earlier entry for the key stands. */
+    /** An earlier entry for the key or id takes precedence; nothing changed. */
     ALREADY,
-    /** The session is bound. */
+    /** The session is bound to a version. */
     BOUND
   }
 
--- a/org.oatlug/src/org/oatlug/internal/ledger/Shard.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/Shard.java
@@ -27,35 +27,35 @@
 import org.oatlug.platform.StoredObject;
 
 /**
- * One shard as a writer of it sees it: a state that was read, and entries that wait to be written.
+ * Writer of one shard: holds the state that was read and the entries that are not written yet.
  *
- * <p>Invariant: a result is only given once the head that holds its entry is confirmed, or, if the
- * entry changes nothing, once the head was read and found to be the one that this state came from.
- * More than one writer is safe, because the head is written by conditional update; after a conflict
- * or a lost reply the head is read back and the waiting entries are applied to it again, which
- * changes nothing for those already in it. No clock stands in this argument. Owned by one event
- * loop, not thread-safe.
+ * <p>Invariant: a result is returned only after the write of the head that contains its entry is
+ * confirmed, or, if the entry changes nothing, after the head was read again and its revision is
+ * the one from which this state was built. Several writers are safe because the head is written by
+ * conditional update; after a conflict or a lost reply the head is read again and the pending
+ * entries are reapplied, which has no effect for those already in it. Safety does not depend on
+ * clocks. Owned by one event loop, not thread-safe.
  */
 public final class Shard {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   static final String KIND = "ledger";
-  private static final int GIVE_UP_AFTER_FAILURES = 2;
+  private static final int MAXIMUM_PLATFORM_FAILURES = 2;
 
   private final String name;
   private final Platform platform;
   private final InstantSource clock;
   private final Duration retention;
   private final Duration interval;
-  private final Duration patience;
-  private final int sealAboveBytes;
+  private final Duration timeout;
+  private final int maximumHeadBytes;
   private final Meters meters;
-  private final Set<Waiting> waiting = new LinkedHashSet<>();
+  private final Set<PendingEntry> pending = new LinkedHashSet<>();
 
   private ShardState state;
   private ShardHead head = ShardHead.EMPTY;
-  private StoreRevision version = StoreRevision.NONE;
-  private boolean known;
-  private boolean busy;
+  private StoreRevision headRevision = StoreRevision.NONE;
+  private boolean loaded;
+  private boolean flushing;
   private int platformFailures;
   private Instant nextFlush = Instant.EPOCH;
 
@@ -66,24 +66,24 @@
     this.clock = clock;
     this.retention = options.retention();
     this.interval = options.interval();
-    this.patience = options.patience();
-    this.sealAboveBytes = options.sealAboveBytes();
+    this.timeout = options.timeout();
+    this.maximumHeadBytes = options.maximumHeadBytes();
     this.meters = meters;
     this.state = new ShardState(retention);
   }
 
   /**
-   * How a shard is written.
+   * Write parameters of a shard.
    *
-   * @param retention how long claims are kept
-   * @param interval the shortest time between two writes
-   * @param patience how long an entry may wait for its confirmation
-   * @param sealAboveBytes how large a head may grow before its entries move to a segment
+   * @param retention time for which entries are retained
+   * @param interval minimum time between two writes
+   * @param timeout maximum time until an entry is confirmed
+   * @param maximumHeadBytes size of the head above which its entries move to a segment
    */
   public record Options(
-      Duration retention, Duration interval, Duration patience, int sealAboveBytes) {}
+      Duration retention, Duration interval, Duration timeout, int maximumHeadBytes) {}
 
-  /** Returns a writer of the shard that has read nothing yet. */
+  /** Creates a writer of the shard that has not read any state yet. */
   public static Shard create(
       String name,
       Platform platform,
@@ -93,102 +93,105 @@
     return new Shard(name, platform, clock, options, Meters.of(metrics));
   }
 
-  /** An entry that waits; each one is only equal to itself. */
-  private static final class Waiting {
+  /** Submitted entry that is not confirmed yet. Compared by identity. */
+  private static final class PendingEntry {
     private final LedgerEntry entry;
-    private final Instant since;
+    private final Instant submittedAt;
     private final UniEmitter<? super LedgerResult> emitter;
 
-    Waiting(LedgerEntry entry, Instant since, UniEmitter<? super LedgerResult> emitter) {
+    PendingEntry(LedgerEntry entry, Instant submittedAt, UniEmitter<? super LedgerResult> emitter) {
       this.entry = entry;
-      this.since = since;
+      this.submittedAt = submittedAt;
       this.emitter = emitter;
     }
   }
 
   /**
-   * Enters an entry and waits for its confirmation.
+   * Submits an entry and completes when it is confirmed.
    *
-   * <p>Fails with {@link LedgerUnavailableException} when it was not confirmed in time; it may then
+   * <p>Fails with {@link LedgerUnavailableException} when it was not confirmed in time; it may
    * still take effect.
    */
   public Uni<LedgerResult> submit(LedgerEntry entry) {
     return Uni.createFrom()
         .emitter(
             emitter -> {
-              waiting.add(new Waiting(entry, clock.instant(), emitter));
+              pending.add(new PendingEntry(entry, clock.instant(), emitter));
               flushIfDue();
             });
   }
 
-  /** Writes what waits and gives up what waited too long. */
+  /** Fails pending entries that timed out and writes the others if a write is due. */
   public void tick() {
-    giveUpLate();
+    failOverdue();
     flushIfDue();
   }
 
-  /** Returns the number of keys that are kept. */
+  /** Returns the number of keys in memory. */
   public int size() {
     return state.size();
   }
 
-  private void giveUpLate() {
-    Instant oldest = clock.instant().minus(patience);
-    List<Waiting> late = waiting.stream().filter(one -> one.since.isBefore(oldest)).toList();
-    giveUp(late);
+  private void failOverdue() {
+    Instant earliestSubmission = clock.instant().minus(timeout);
+    List<PendingEntry> overdue =
+        pending.stream()
+            .filter(pendingEntry -> pendingEntry.submittedAt.isBefore(earliestSubmission))
+            .toList();
+    failEntries(overdue);
   }
 
-  private void giveUp(List<Waiting> entries) {
-    entries.forEach(waiting::remove);
-    for (Waiting one : entries) {
+  private void failEntries(List<PendingEntry> entries) {
+    entries.forEach(pending::remove);
+    for (PendingEntry pendingEntry : entries) {
       meters.count("ledger.given-up");
-      one.emitter.fail(new LedgerUnavailableException(null));
+      pendingEntry.emitter.fail(new LedgerUnavailableException(null));
     }
   }
 
   private void flushIfDue() {
     boolean due = !clock.instant().isBefore(nextFlush);
-    if (busy || !due || waiting.isEmpty()) {
+    if (flushing || !due || pending.isEmpty()) {
       return;
     }
-    busy = true;
+    flushing = true;
     nextFlush = clock.instant().plus(interval);
-    Uni<Void> read = known ? Uni.createFrom().voidItem() : load();
+    Uni<Void> read = loaded ? Uni.createFrom().voidItem() : load();
     read.onItem()
         .transformToUni(unused -> write())
         .subscribe()
-        .with(unused -> done(), this::failed);
+        .with(unused -> writeSucceeded(), this::writeFailed);
   }
 
-  private void done() {
-    busy = false;
+  private void writeSucceeded() {
+    flushing = false;
     platformFailures = 0;
   }
 
-  private void failed(Throwable failure) {
-    known = false;
-    busy = false;
+  private void writeFailed(Throwable failure) {
+    loaded = false;
+    flushing = false;
     if (failure instanceof ConflictException) {
       meters.count("ledger.conflict");
       return;
     }
     meters.count("ledger.platform-failure");
     platformFailures++;
-    if (platformFailures >= GIVE_UP_AFTER_FAILURES) {
-      giveUp(List.copyOf(waiting));
+    if (platformFailures >= MAXIMUM_PLATFORM_FAILURES) {
+      failEntries(List.copyOf(pending));
     }
   }
 
   private Uni<Void> write() {
-    List<Waiting> batch = List.copyOf(waiting);
+    List<PendingEntry> batch = List.copyOf(pending);
     long now = clock.instant().toEpochMilli();
     List<LedgerEntry> added = new ArrayList<>();
     List<LedgerResult> results = new ArrayList<>();
-    for (Waiting one : batch) {
-      ShardState.Applied applied = state.apply(one.entry, now);
+    for (PendingEntry pendingEntry : batch) {
+      ShardState.Applied applied = state.apply(pendingEntry.entry, now);
       results.add(applied.result());
       if (applied.changed()) {
-        added.add(one.entry);
+        added.add(pendingEntry.entry);
       }
     }
     if (added.isEmpty()) {
@@ -200,91 +203,92 @@
         .invoke(unused -> confirm(batch, results));
   }
 
-  /** Answers a batch that changes nothing, if no other writer has moved the head on meanwhile. */
-  private Uni<Void> verify(List<Waiting> batch, List<LedgerResult> results) {
+  /** Confirms a batch that changes nothing, if no other writer has updated the head meanwhile. */
+  private Uni<Void> verify(List<PendingEntry> batch, List<LedgerResult> results) {
     return platform
         .get(headKey())
         .onItem()
         .transformToUni(
             stored -> {
-              StoreRevision standing =
+              StoreRevision currentRevision =
                   stored.map(StoredObject::revision).orElse(StoreRevision.NONE);
-              if (standing.equals(version)) {
+              if (currentRevision.equals(headRevision)) {
                 confirm(batch, results);
                 return Uni.createFrom().voidItem();
               }
-              forget();
+              resetState();
               return loadHead(stored).onItem().transformToUni(unused -> write());
             });
   }
 
-  private Uni<Void> writeHead(ShardHead next) {
-    if (sizeOf(next.entries()) > sealAboveBytes) {
-      return seal(next).onItem().transformToUni(this::put);
+  private Uni<Void> writeHead(ShardHead newHead) {
+    if (sizeOf(newHead.entries()) > maximumHeadBytes) {
+      return seal(newHead).onItem().transformToUni(this::put);
     }
-    return put(next);
+    return put(newHead);
   }
 
-  private Uni<Void> put(ShardHead next) {
+  private Uni<Void> put(ShardHead newHead) {
     return platform
-        .put(headKey(), version, Json.STRICT.valueToTree(next))
+        .put(headKey(), headRevision, Json.STRICT.valueToTree(newHead))
         .invoke(
-            newVersion -> {
-              head = next;
-              version = newVersion;
+            newRevision -> {
+              head = newHead;
+              headRevision = newRevision;
             })
         .replaceWithVoid();
   }
 
-  /** Moves the entries into a segment of a name that was never used, and drops old segments. */
-  private Uni<ShardHead> seal(ShardHead full) {
+  /** Moves the entries into a segment with a unique name and removes expired segments. */
+  private Uni<ShardHead> seal(ShardHead fullHead) {
     long now = clock.instant().toEpochMilli();
     String segmentName = name + "-" + UUID.randomUUID();
-    final JsonNode content = Json.STRICT.valueToTree(new ShardHead.SegmentContent(full.entries()));
+    final JsonNode content =
+        Json.STRICT.valueToTree(new ShardHead.SegmentContent(fullHead.entries()));
     List<ShardHead.Segment> segments = new ArrayList<>();
-    for (ShardHead.Segment segment : full.segments()) {
+    for (ShardHead.Segment segment : fullHead.segments()) {
       if (segment.sealedMillis() >= now - retention.toMillis()) {
         segments.add(segment);
       }
     }
     segments.add(new ShardHead.Segment(segmentName, now));
     meters.count("ledger.sealed");
-    state.forget(now);
+    state.removeExpired(now);
     return platform
         .put(ObjectKey.valueOf(KIND, segmentName), StoreRevision.NONE, content)
         .replaceWith(new ShardHead(segments, List.of()));
   }
 
-  private void confirm(List<Waiting> batch, List<LedgerResult> results) {
-    batch.forEach(waiting::remove);
+  private void confirm(List<PendingEntry> batch, List<LedgerResult> results) {
+    batch.forEach(pending::remove);
     for (int index = 0; index < batch.size(); index++) {
       batch.get(index).emitter.complete(results.get(index));
     }
   }
 
-  private void forget() {
-    known = false;
+  private void resetState() {
+    loaded = false;
     state = new ShardState(retention);
   }
 
   private Uni<Void> load() {
-    forget();
+    resetState();
     return platform.get(headKey()).onItem().transformToUni(this::loadHead);
   }
 
   private Uni<Void> loadHead(Optional<StoredObject> stored) {
-    ShardHead read =
+    ShardHead loadedHead =
         stored.map(object -> LedgerReader.parse(object, ShardHead.class)).orElse(ShardHead.EMPTY);
     Uni<Void> segments = Uni.createFrom().voidItem();
-    for (ShardHead.Segment segment : read.segments()) {
+    for (ShardHead.Segment segment : loadedHead.segments()) {
       segments = segments.onItem().transformToUni(unused -> loadSegment(segment.name()));
     }
     return segments.invoke(
         () -> {
-          applyAll(read.entries());
-          head = read;
-          version = stored.map(StoredObject::revision).orElse(StoreRevision.NONE);
-          known = true;
+          applyAll(loadedHead.entries());
+          head = loadedHead;
+          headRevision = stored.map(StoredObject::revision).orElse(StoreRevision.NONE);
+          loaded = true;
         });
   }
 
@@ -295,7 +299,7 @@
         .transformToUni(
             stored -> {
               if (stored.isEmpty()) {
-                logger.atSevere().log("segment %s is missing", segment);
+                logger.atSevere().log("ledger segment %s is missing", segment);
                 return Uni.createFrom().failure(new LedgerUnavailableException(null));
               }
               applyAll(LedgerReader.parse(stored.get(), ShardHead.SegmentContent.class).entries());
--- a/org.oatlug/src/org/oatlug/internal/ledger/ShardHead.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/ShardHead.java
@@ -6,9 +6,9 @@
 import java.util.List;
 
 /**
- * The object at the platform that names all entries of a shard. Immutable.
+ * Root object of a shard in the platform's object store. Immutable.
  *
- * <p>Invariant: it is only written by conditional update and never deleted.
+ * <p>Invariant: it is written only by conditional update and never deleted.
  *
  * @param segments the segments with the older entries, oldest first
  * @param entries the newest entries, in order
@@ -17,17 +17,17 @@
   static final ShardHead EMPTY = new ShardHead(List.of(), List.of());
 
   /**
-   * A reference to an immutable object with entries.
+   * Reference to an immutable object that contains entries.
    *
    * @param name the name of the object
-   * @param sealedMillis when it was made, in milliseconds since 1970
+   * @param sealedMillis creation time, in milliseconds since 1970
    */
   record Segment(String name, long sealedMillis) {}
 
   /**
-   * The content of a segment object.
+   * Content of a segment object.
    *
-   * @param entries the entries, in order
+   * @param entries the entries, oldest first
    */
   record SegmentContent(List<LedgerEntry> entries) {}
 }
--- a/org.oatlug/src/org/oatlug/internal/ledger/ShardState.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/ShardState.java
@@ -12,11 +12,11 @@
 import org.oatlug.internal.billing.Bill;
 
 /**
- * What the entries of one shard amount to.
+ * In-memory state that results from the entries of one shard.
  *
- * <p>Invariants: the first claim of a key that was not given up stands; an outcome, once recorded,
- * stands; a given-up attempt is never granted; the first bill of an id stands. Applying entries
- * again changes nothing. Owned by one event loop, not thread-safe.
+ * <p>Invariants: the first claim of a key that is not voided takes precedence; a recorded outcome
+ * never changes; a voided attempt is never granted; the first bill of an id takes precedence.
+ * Applying an entry again changes nothing. Owned by one event loop, not thread-safe.
  */
 final class ShardState {
   private final Duration retention;
@@ -31,9 +31,9 @@
 
   private record ClaimRow(LedgerEntry.Claim claim, Optional<LedgerEntry.Outcome> outcome) {}
 
-  private record BindingRow(String version, long enteredMillis) {}
+  private record BindingRow(String version, long insertedMillis) {}
 
-  /** Whether an entry changed the state, and what became of it. */
+  /** Result of applying an entry, and whether the entry changed the state. */
   record Applied(boolean changed, LedgerResult result) {
     private static Applied changed(LedgerResult.Kind kind) {
       return new Applied(true, LedgerResult.of(kind));
@@ -47,38 +47,38 @@
   Applied apply(LedgerEntry entry, long nowMillis) {
     if (entry instanceof LedgerEntry.Claim claim) {
       return claim(claim, nowMillis);
-    } else if (entry instanceof LedgerEntry.Void given) {
-      return giveUp(given, nowMillis);
+    } else if (entry instanceof LedgerEntry.Void voidEntry) {
+      return voidAttempt(voidEntry, nowMillis);
     } else if (entry instanceof LedgerEntry.Outcome outcome) {
-      return end(outcome);
-    } else if (entry instanceof LedgerEntry.Billed entered) {
-      return enterBill(entered.bill(), nowMillis);
+      return recordOutcome(outcome);
+    } else if (entry instanceof LedgerEntry.Billed billEntry) {
+      return addBill(billEntry.bill(), nowMillis);
     } else {
       return bind((LedgerEntry.Binding) entry, nowMillis);
     }
   }
 
-  /** Returns the number of keys that are kept. */
+  /** Returns the number of keys in memory. */
   int size() {
     return claims.size() + bindings.size() + voided.size() + billed.size();
   }
 
   /**
-   * Forgets what is older than the retention.
+   * Removes all rows older than the retention.
    *
-   * <p>Rows stand in the order of their entry, so only those at the front are looked at.
+   * <p>Rows are in insertion order, so only rows at the front are examined.
    */
-  void forget(long nowMillis) {
+  void removeExpired(long nowMillis) {
     long limit = nowMillis - retention.toMillis();
-    dropWhile(claims, row -> row.claim().bornMillis() < limit);
-    dropWhile(bindings, row -> row.enteredMillis() < limit);
-    dropWhile(voided, enteredMillis -> enteredMillis < limit);
-    billed.forgetBefore(limit);
+    removeLeading(claims, row -> row.claim().bornMillis() < limit);
+    removeLeading(bindings, row -> row.insertedMillis() < limit);
+    removeLeading(voided, insertedMillis -> insertedMillis < limit);
+    billed.removeBefore(limit);
   }
 
-  private static <V> void dropWhile(Map<String, V> rows, Predicate<V> isOld) {
+  private static <V> void removeLeading(Map<String, V> rows, Predicate<V> isRemovable) {
     Iterator<V> values = rows.values().iterator();
-    while (values.hasNext() && isOld.test(values.next())) {
+    while (values.hasNext() && isRemovable.test(values.next())) {
       values.remove();
     }
   }
@@ -111,18 +111,18 @@
     return LedgerResult.taken(row.claim().process());
   }
 
-  private Applied giveUp(LedgerEntry.Void given, long nowMillis) {
-    boolean added = voided.putIfAbsent(given.attempt(), nowMillis) == null;
-    ClaimRow row = claims.get(given.key());
-    boolean holds = row != null && row.claim().attempt().equals(given.attempt());
+  private Applied voidAttempt(LedgerEntry.Void voidEntry, long nowMillis) {
+    boolean added = voided.putIfAbsent(voidEntry.attempt(), nowMillis) == null;
+    ClaimRow row = claims.get(voidEntry.key());
+    boolean holds = row != null && row.claim().attempt().equals(voidEntry.attempt());
     if (holds && row.outcome().isEmpty()) {
-      claims.remove(given.key());
+      claims.remove(voidEntry.key());
     }
     LedgerResult.Kind kind = added ? LedgerResult.Kind.RECORDED : LedgerResult.Kind.ALREADY;
     return new Applied(added, LedgerResult.of(kind));
   }
 
-  private Applied end(LedgerEntry.Outcome outcome) {
+  private Applied recordOutcome(LedgerEntry.Outcome outcome) {
     ClaimRow row = claims.get(outcome.key());
     boolean holds = row != null && row.claim().attempt().equals(outcome.attempt());
     if (!holds || row.outcome().isPresent()) {
@@ -132,7 +132,7 @@
     return Applied.changed(LedgerResult.Kind.RECORDED);
   }
 
-  private Applied enterBill(Bill bill, long nowMillis) {
+  private Applied addBill(Bill bill, long nowMillis) {
     if (bill.bornMillis() < nowMillis - retention.toMillis()) {
       return Applied.unchanged(LedgerResult.of(LedgerResult.Kind.EXPIRED));
     }
@@ -144,9 +144,9 @@
 
   private Applied bind(LedgerEntry.Binding binding, long nowMillis) {
     BindingRow row = new BindingRow(binding.version(), nowMillis);
-    BindingRow known = bindings.putIfAbsent(binding.key(), row);
-    String standing = known == null ? binding.version() : known.version();
-    return new Applied(known == null, LedgerResult.bound(standing));
+    BindingRow existing = bindings.putIfAbsent(binding.key(), row);
+    String boundVersion = existing == null ? binding.version() : existing.version();
+    return new Applied(existing == null, LedgerResult.bound(boundVersion));
   }
 
   private boolean isExpired(LedgerEntry.Claim claim, long nowMillis) {
--- a/org.oatlug/src/org/oatlug/internal/ledger/package-info.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/package-info.java
@@ -1,2 +1,4 @@
-/** Claims and bills that are kept at the platform. */
+/**
+ * Replicated ledger of claims, outcomes, session bindings and bills in the platform's object store.
+ */
 package org.oatlug.internal.ledger;
