--- a/org.oatlug/src/org/oatlug/internal/http/Admission.java
+++ b/org.oatlug/src/org/oatlug/internal/http/Admission.java
@@ -20,15 +20,15 @@
 import org.oatlug.internal.util.Hashes;
 
 /**
- * Lets a request in or refuses it before anything runs.
+ * Admits or refuses requests before anything is executed.
  *
- * <p>Invariant: whatever is refused here did not run. Used from one event loop.
+ * <p>Invariant: a request that is refused here did not run. Used from one event loop.
  */
 final class Admission {
   private static final String BEARER = "Bearer ";
   private static final Duration DEFAULT_DEADLINE = Duration.ofMinutes(10);
-  private static final Duration COME_BACK = Duration.ofSeconds(1);
-  private static final int MAXIMUM_HEADER = 4096;
+  private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
+  private static final int MAXIMUM_HEADER_CHARACTERS = 4096;
 
   private final Services services;
 
@@ -36,8 +36,8 @@
     this.services = services;
   }
 
-  /** What is known of an admitted request. Immutable. */
-  record Ticket(
+  /** Properties of an admitted request. Immutable. */
+  record AdmittedRequest(
       String id,
       String workspaceName,
       Workspace workspace,
@@ -45,14 +45,14 @@
       Instant deadline,
       Optional<SessionToken> session) {}
 
-  /** Admits the request, which then has to be ended, or refuses it with an answer. */
+  /** Admits the request, which the caller of this method must then end, or sends a refusal. */
   Optional<CallerRequest> admit(RoutingContext context) {
     String id = UUID.randomUUID().toString();
     try {
-      Ticket ticket = check(id, context.request());
-      admitOpen(ticket.workspace());
+      AdmittedRequest admitted = validate(id, context.request());
+      admitToOpenRequests(admitted.workspace());
       return Optional.of(
-          new CallerRequest(ticket, context, services.meters(), services.open()::close));
+          new CallerRequest(admitted, context, services.meters(), services.open()::close));
     } catch (RefusedException e) {
       services.meters().refused(e.refusal().reason());
       Problem.send(context.response(), e.refusal(), id);
@@ -60,7 +60,7 @@
     }
   }
 
-  /** Returns the workspace whose key the request carries. */
+  /** Returns the name of the workspace that owns the API key of the request. */
   String authenticate(HttpServerRequest request) throws RefusedException {
     String header = request.getHeader(Headers.AUTHORIZATION);
     if (header == null || !header.startsWith(BEARER)) {
@@ -74,7 +74,7 @@
         .orElseThrow(() -> refused(RefusalReason.KEY_UNKNOWN, ErrorText.get().keyUnknown));
   }
 
-  private Ticket check(String id, HttpServerRequest request) throws RefusedException {
+  private AdmittedRequest validate(String id, HttpServerRequest request) throws RefusedException {
     Instant now = services.clock().instant();
     if (services.tables().catalogue().isEmpty()) {
       throw retryLater(RefusalReason.NOT_READY, ErrorText.get().notReady);
@@ -90,10 +90,10 @@
       String text = ErrorText.get().rateLimited;
       throw new RefusedException(Refusal.retryAfter(RefusalReason.RATE_LIMITED, text, wait.get()));
     }
-    return new Ticket(id, name, workspace, now, deadline, session);
+    return new AdmittedRequest(id, name, workspace, now, deadline, session);
   }
 
-  private void admitOpen(Workspace workspace) throws RefusedException {
+  private void admitToOpenRequests(Workspace workspace) throws RefusedException {
     OpenRequests.Result result = services.open().admit(workspace.priority());
     if (result == OpenRequests.Result.STOPPING) {
       throw retryLater(RefusalReason.STOPPING, ErrorText.get().stopping);
@@ -138,7 +138,7 @@
 
   private static void checkLength(HttpServerRequest request, String name) throws RefusedException {
     String value = request.getHeader(name);
-    if (value != null && (value.isBlank() || value.length() > MAXIMUM_HEADER)) {
+    if (value != null && (value.isBlank() || value.length() > MAXIMUM_HEADER_CHARACTERS)) {
       throw invalid(name);
     }
   }
@@ -153,6 +153,6 @@
   }
 
   private static RefusedException retryLater(RefusalReason reason, String text) {
-    return new RefusedException(Refusal.retryAfter(reason, text, COME_BACK));
+    return new RefusedException(Refusal.retryAfter(reason, text, RETRY_AFTER));
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/http/BillDraft.java
+++ b/org.oatlug/src/org/oatlug/internal/http/BillDraft.java
@@ -9,19 +9,19 @@
 import org.oatlug.internal.routing.RoutingDecision.Route;
 
 /**
- * The bill of one chat request while it is answered.
+ * Bill of one chat request while the response is in progress.
  *
- * <p>Invariants: nothing is owed before the first token of an answer; the cost of a complete answer
- * that a stronger stage answered again stays owed. Used from one event loop.
+ * <p>Invariants: nothing is charged before the first token of a response; the cost of a complete
+ * response is still charged after escalation to a stronger stage. Used from one event loop.
  */
 final class BillDraft {
-  private static final int THOUSAND = 1000;
+  private static final int TOKENS_PER_PRICE_UNIT = 1000;
 
   private final Services services;
   private final CallerRequest request;
   private final int promptTokens;
   private Optional<Bill> current = Optional.empty();
-  private long owedEarlier;
+  private long earlierCost;
 
   BillDraft(Services services, CallerRequest request, int promptTokens) {
     this.services = services;
@@ -29,30 +29,30 @@
     this.promptTokens = promptTokens;
   }
 
-  /** Returns the bill as it stands, empty before the first attempt. */
+  /** Returns the current bill, empty before the first attempt. */
   Optional<Bill> current() {
     return current;
   }
 
-  /** Begins the bill of an attempt. */
-  Bill intent(Route route) {
-    owedEarlier = current.filter(Bill::complete).map(Bill::cost).orElse(owedEarlier);
-    return draw(route, 0, false);
+  /** Starts the bill of an attempt. */
+  Bill startAttempt(Route route) {
+    earlierCost = current.filter(Bill::complete).map(Bill::cost).orElse(earlierCost);
+    return update(route, 0, false);
   }
 
-  /** Notes how far the answer came. */
+  /** Updates the bill with the number of tokens generated so far. */
   Bill progressed(Route route, int answerTokens) {
-    return draw(route, answerTokens, false);
+    return update(route, answerTokens, false);
   }
 
-  /** Notes that the answer is complete. */
+  /** Updates the bill with a complete response. */
   Bill complete(Route route, int answerTokens) {
-    return draw(route, answerTokens, true);
+    return update(route, answerTokens, true);
   }
 
-  private Bill draw(Route route, int answerTokens, boolean complete) {
-    boolean owed = complete || answerTokens > 0;
-    long tokens = owed ? promptTokens + answerTokens : 0;
+  private Bill update(Route route, int answerTokens, boolean complete) {
+    boolean isCharged = complete || answerTokens > 0;
+    long tokens = isCharged ? promptTokens + answerTokens : 0;
     Bill bill =
         new Bill(
             request.id(),
@@ -60,7 +60,7 @@
             route.version(),
             promptTokens,
             answerTokens,
-            owedEarlier + priceOf(route) * tokens / THOUSAND,
+            earlierCost + pricePerThousandTokens(route) * tokens / TOKENS_PER_PRICE_UNIT,
             complete,
             services.membership().self().process(),
             request.started().toEpochMilli());
@@ -68,7 +68,7 @@
     return bill;
   }
 
-  private long priceOf(Route route) {
+  private long pricePerThousandTokens(Route route) {
     return services
         .tables()
         .catalogue()
--- a/org.oatlug/src/org/oatlug/internal/http/CallerRequest.java
+++ b/org.oatlug/src/org/oatlug/internal/http/CallerRequest.java
@@ -17,10 +17,10 @@
 import org.oatlug.internal.util.LogKeys;
 
 /**
- * One admitted request of a caller.
+ * Admitted request of a caller.
  *
- * <p>Invariant: it ends exactly once, with an answer, a refusal, a typed end of its stream, or
- * because the caller went away. Used from one event loop.
+ * <p>Invariant: it ends exactly once: with a response, a refusal, an error event in its stream, or
+ * because the caller disconnected. Used from one event loop.
  */
 final class CallerRequest {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -34,20 +34,21 @@
   private final Optional<SessionToken> session;
   private final Meters meters;
   private final Runnable onEnd;
-  private Runnable onGone = () -> {};
+  private Runnable onDisconnect = () -> {};
   private boolean ended;
 
-  CallerRequest(Admission.Ticket ticket, RoutingContext context, Meters meters, Runnable onEnd) {
-    this.id = ticket.id();
-    this.workspaceName = ticket.workspaceName();
-    this.workspace = ticket.workspace();
-    this.started = ticket.started();
-    this.deadline = ticket.deadline();
-    this.session = ticket.session();
+  CallerRequest(
+      Admission.AdmittedRequest admitted, RoutingContext context, Meters meters, Runnable onEnd) {
+    this.id = admitted.id();
+    this.workspaceName = admitted.workspaceName();
+    this.workspace = admitted.workspace();
+    this.started = admitted.started();
+    this.deadline = admitted.deadline();
+    this.session = admitted.session();
     this.context = context;
     this.meters = meters;
     this.onEnd = onEnd;
-    context.response().closeHandler(unused -> gone());
+    context.response().closeHandler(unused -> disconnected());
   }
 
   String id() {
@@ -90,12 +91,15 @@
     return ended;
   }
 
-  /** Sets what happens when the caller goes away before the end. */
-  void onGone(Runnable action) {
-    onGone = action;
+  /** Sets the action to run when the caller disconnects before the request ends. */
+  void onDisconnect(Runnable action) {
+    onDisconnect = action;
   }
 
-  /** Ends the request with a refusal: as a problem, or as an event if the stream has begun. */
+  /**
+   * Ends the request with a refusal, sent as problem details or, if the stream has begun, as an
+   * event.
+   */
   void refuse(Refusal refusal) {
     if (ended) {
       return;
@@ -116,13 +120,13 @@
     }
   }
 
-  /** Ends the request because a failure has no type; the caller is told no detail. */
+  /** Ends the request after an unexpected failure; the caller receives no details. */
   void fail(Throwable failure) {
     logger.atSevere().withCause(failure).with(LogKeys.REQUEST_ID, id).log("the request failed");
     refuse(Refusal.unknown(RefusalReason.UPSTREAM_FAILED, ErrorText.get().mayHaveRun));
   }
 
-  /** Marks that the whole answer was written. */
+  /** Marks the request as ended, after the complete response was written. */
   void finish() {
     if (!ended) {
       ended = true;
@@ -131,12 +135,12 @@
     }
   }
 
-  private void gone() {
+  private void disconnected() {
     if (!ended) {
       meters.count("caller.gone");
-      logger.atInfo().with(LogKeys.REQUEST_ID, id).log("the caller went away");
+      logger.atInfo().with(LogKeys.REQUEST_ID, id).log("the caller disconnected");
       finish();
-      onGone.run();
+      onDisconnect.run();
     }
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/http/CallerServer.java
+++ b/org.oatlug/src/org/oatlug/internal/http/CallerServer.java
@@ -34,10 +34,10 @@
 import org.oatlug.internal.util.Json;
 import org.oatlug.internal.util.TlsFiles;
 
-/** The server that callers talk to. Used from one event loop. */
+/** HTTP server for requests of callers. Used from one event loop. */
 public final class CallerServer {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-  private static final int MAXIMUM_HEADERS = 16 * 1024;
+  private static final int MAXIMUM_HEADER_BYTES = 16 * 1024;
   private static final int TOO_LARGE = 413;
   private static final String SERVICES = "/v1/services/";
 
@@ -49,19 +49,19 @@
     this.admission = new Admission(services);
   }
 
-  /** Returns the server of an instance, which does not listen yet. */
+  /** Creates the server of an instance, which does not listen yet. */
   public static CallerServer create(Services services) {
     return new CallerServer(services);
   }
 
-  /** Starts to accept callers. */
+  /** Starts to accept connections of callers. */
   public Future<HttpServer> listen() {
     Settings.Listener listener = services.settings().callers();
     HttpServerOptions options =
         new HttpServerOptions()
             .setHost(listener.host())
             .setPort(listener.port())
-            .setMaxHeaderSize(MAXIMUM_HEADERS);
+            .setMaxHeaderSize(MAXIMUM_HEADER_BYTES);
     TlsFiles.apply(listener.tls(), options);
     return services.vertx().createHttpServer(options).requestHandler(router()).listen();
   }
@@ -73,10 +73,10 @@
     router.post("/v1/chat/completions").handler(this::chat);
     router.get("/v1/models").handler(this::models);
     router.route(SERVICES + "*").handler(this::service);
-    router.errorHandler(TOO_LARGE, this::tooLarge);
-    router.errorHandler(404, this::unknownRoute);
-    router.errorHandler(405, this::unknownRoute);
-    router.errorHandler(500, this::failed);
+    router.errorHandler(TOO_LARGE, this::refuseTooLarge);
+    router.errorHandler(404, this::refuseUnknownRoute);
+    router.errorHandler(405, this::refuseUnknownRoute);
+    router.errorHandler(500, this::handleError);
     return router;
   }
 
@@ -89,7 +89,7 @@
     try {
       ChatBody body = ChatBody.read(bodyOf(context));
       String fingerprint = Hashes.sha256(body.node().toString());
-      claimed(request, fingerprint, claim -> new ChatPlan(services, request, body, claim));
+      claimAndForward(request, fingerprint, claim -> new ChatPlan(services, request, body, claim));
     } catch (RefusedException e) {
       request.refuse(e.refusal());
     }
@@ -104,21 +104,26 @@
     try {
       ServicePlan.Target target = targetOf(context);
       Buffer body = bodyOf(context);
-      String what = target.method() + "\n" + target.path() + "\n" + body;
-      String fingerprint = Hashes.sha256(what);
-      claimed(
+      String fingerprintInput = target.method() + "\n" + target.path() + "\n" + body;
+      String fingerprint = Hashes.sha256(fingerprintInput);
+      claimAndForward(
           request, fingerprint, claim -> new ServicePlan(services, request, target, body, claim));
     } catch (RefusedException e) {
       request.refuse(e.refusal());
     }
   }
 
-  /** Claims the request if it carries a key, and then forwards it or answers from the ledger. */
-  private void claimed(
-      CallerRequest request, String fingerprint, Function<Optional<ClaimDesk.Claim>, Plan> planOf) {
+  /**
+   * Claims the request if it has an idempotency key, then forwards it or replays the recorded
+   * response.
+   */
+  private void claimAndForward(
+      CallerRequest request,
+      String fingerprint,
+      Function<Optional<ClaimDesk.Claim>, Plan> planFactory) {
     Optional<String> key = request.header(Headers.IDEMPOTENCY_KEY);
     if (key.isEmpty()) {
-      new Forwarding(services, request, planOf.apply(Optional.empty())).start();
+      new Forwarding(services, request, planFactory.apply(Optional.empty())).start();
       return;
     }
     Uni<ClaimDesk.Claim> claim =
@@ -130,7 +135,7 @@
               if (granted.recorded().isPresent()) {
                 replay(request, granted.recorded().get());
               } else {
-                new Forwarding(services, request, planOf.apply(Optional.of(granted))).start();
+                new Forwarding(services, request, planFactory.apply(Optional.of(granted))).start();
               }
             },
             failure -> {
@@ -157,10 +162,10 @@
   }
 
   private ServicePlan.Target targetOf(RoutingContext context) throws RefusedException {
-    String rest = context.request().uri().substring(SERVICES.length());
-    int slash = rest.indexOf('/');
-    String application = slash < 0 ? rest : rest.substring(0, slash);
-    String path = slash < 0 ? "/" : rest.substring(slash);
+    String remainder = context.request().uri().substring(SERVICES.length());
+    int slash = remainder.indexOf('/');
+    String application = slash < 0 ? remainder : remainder.substring(0, slash);
+    String path = slash < 0 ? "/" : remainder.substring(slash);
     String method = context.request().method().name();
     return services
         .tables()
@@ -171,7 +176,7 @@
             route ->
                 new ServicePlan.Target(
                     application, context.request().method(), path, route.repeatable()))
-        .orElseThrow(() -> unknown(method + " " + application + path));
+        .orElseThrow(() -> unknownRouteRefusal(method + " " + application + path));
   }
 
   private static Optional<Service.Route> routeOf(Service service, String method, String path) {
@@ -183,9 +188,9 @@
   private void models(RoutingContext context) {
     try {
       String workspace = admission.authenticate(context.request());
-      ObjectNode answer = Json.STRICT.createObjectNode();
-      answer.put("object", "list");
-      ArrayNode data = answer.putArray("data");
+      ObjectNode responseBody = Json.STRICT.createObjectNode();
+      responseBody.put("object", "list");
+      ArrayNode data = responseBody.putArray("data");
       for (String kind : new String[] {Kinds.MODEL, Kinds.CASCADE}) {
         for (String name : services.tables().catalogue().names(kind)) {
           if (mayUse(workspace, name)) {
@@ -193,7 +198,7 @@
           }
         }
       }
-      context.response().putHeader("Content-Type", "application/json").end(answer.toString());
+      context.response().putHeader("Content-Type", "application/json").end(responseBody.toString());
     } catch (RefusedException e) {
       services.meters().refused(e.refusal().reason());
       Problem.send(context.response(), e.refusal(), UUID.randomUUID().toString());
@@ -209,18 +214,18 @@
         .isPresent();
   }
 
-  private void tooLarge(RoutingContext context) {
+  private void refuseTooLarge(RoutingContext context) {
     int limit = services.settings().limits().bodyBytes();
     String text = ErrorText.format(ErrorText.get().bodyTooLarge, Integer.toString(limit));
     refuse(context, Refusal.notRun(RefusalReason.BODY_TOO_LARGE, text));
   }
 
-  private void unknownRoute(RoutingContext context) {
-    refuse(context, unknown(context.request().path()).refusal());
+  private void refuseUnknownRoute(RoutingContext context) {
+    refuse(context, unknownRouteRefusal(context.request().path()).refusal());
   }
 
-  private void failed(RoutingContext context) {
-    logger.atSevere().withCause(context.failure()).log("a request failed");
+  private void handleError(RoutingContext context) {
+    logger.atSevere().withCause(context.failure()).log("unhandled exception in a request handler");
     String text = ErrorText.format(ErrorText.get().bodyInvalid, "it cannot be handled");
     refuse(context, Refusal.notRun(RefusalReason.BODY_INVALID, text));
   }
@@ -230,7 +235,7 @@
     Problem.send(context.response(), refusal, UUID.randomUUID().toString());
   }
 
-  private static RefusedException unknown(String route) {
+  private static RefusedException unknownRouteRefusal(String route) {
     String text = ErrorText.format(ErrorText.get().routeUnknown, route);
     return new RefusedException(Refusal.notRun(RefusalReason.ROUTE_UNKNOWN, text));
   }
--- a/org.oatlug/src/org/oatlug/internal/http/ChatBody.java
+++ b/org.oatlug/src/org/oatlug/internal/http/ChatBody.java
@@ -15,12 +15,12 @@
 import org.oatlug.internal.util.Json;
 
 /**
- * A chat request in the OpenAI shape. Immutable by convention.
+ * Chat request in the OpenAI format. Immutable by convention.
  *
- * @param node the whole body
- * @param model a model or a cascade
- * @param stream whether the answer is streamed
- * @param promptTokens the estimated length of the prompt
+ * @param node the complete body
+ * @param model the name of a model or a cascade
+ * @param stream whether the response is streamed
+ * @param promptTokens the estimated number of tokens of the prompt
  * @param prefix a hash of the start of the prompt
  */
 record ChatBody(ObjectNode node, String model, boolean stream, int promptTokens, long prefix) {
@@ -28,9 +28,9 @@
   private static final int PREFIX_CHARACTERS = 512;
 
   /**
-   * Reads a body.
+   * Parses and validates a body.
    *
-   * @throws RefusedException if it is no chat request
+   * @throws RefusedException if the body is not a chat request
    */
   static ChatBody read(Buffer buffer) throws RefusedException {
     JsonNode node = parse(buffer);
@@ -51,12 +51,12 @@
     }
     String prompt = promptOf(messages);
     int tokens = prompt.length() / CHARACTERS_PER_TOKEN + 1;
-    String start = prompt.substring(0, Math.min(PREFIX_CHARACTERS, prompt.length()));
+    String promptStart = prompt.substring(0, Math.min(PREFIX_CHARACTERS, prompt.length()));
     return new ChatBody(
-        object, model.asText(), stream.asBoolean(), tokens, Hashes.hash64("prefix", start));
+        object, model.asText(), stream.asBoolean(), tokens, Hashes.hash64("prefix", promptStart));
   }
 
-  /** Returns the body that an engine gets for a version. */
+  /** Returns the body to send to an engine for a version. */
   Buffer forVersion(String version) {
     ObjectNode copy = node.deepCopy();
     copy.put("model", version);
--- a/org.oatlug/src/org/oatlug/internal/http/ChatPlan.java
+++ b/org.oatlug/src/org/oatlug/internal/http/ChatPlan.java
@@ -33,16 +33,17 @@
 import org.oatlug.internal.util.Json;
 
 /**
- * The way of one chat request.
+ * Processing steps of one chat request.
  *
- * <p>Invariants: the intent to bill is at the witnesses before bytes leave, the settled bill before
- * the last byte of the answer. A session keeps the version of each model. A request with a key is
- * claimed first and is then not repeated. Used from one event loop.
+ * <p>Invariants: the provisional bill is sent to the witnesses before bytes are sent upstream, and
+ * the settled bill before the last byte of the response. A session keeps the version of each model.
+ * A request with an idempotency key is claimed first and is not repeatable. Used from one event
+ * loop.
  */
 final class ChatPlan implements Plan {
-  private static final Duration COME_BACK = Duration.ofSeconds(2);
-  private static final int PROGRESS_EVERY = 64;
-  private static final int MAXIMUM_KEPT_ANSWER = 32 * 1024;
+  private static final Duration RETRY_AFTER = Duration.ofSeconds(2);
+  private static final int TOKENS_PER_PROGRESS_UPDATE = 64;
+  private static final int MAXIMUM_RECORDED_BYTES = 32 * 1024;
   private static final String JSON_TYPE = "application/json";
 
   private final Services services;
@@ -61,13 +62,14 @@
     this.claim = claim;
     this.bill = new BillDraft(services, request, body.promptTokens());
     this.task = request.header(Headers.TASK).orElse("");
-    Map<String, String> bound = request.session().map(SessionToken::versions).orElse(Map.of());
+    Map<String, String> boundVersions =
+        request.session().map(SessionToken::versions).orElse(Map.of());
     this.routeRequest =
         new RouteRequest(
             request.workspaceName(),
             body.model(),
             task,
-            bound,
+            boundVersions,
             body.promptTokens(),
             body.prefix(),
             0,
@@ -93,20 +95,24 @@
   public Uni<Void> prepare(Route route) {
     if (services.billing().isFull()) {
       String text = ErrorText.get().witnessFull;
-      Refusal refusal = Refusal.retryAfter(RefusalReason.WITNESS_FULL, text, COME_BACK);
+      Refusal refusal = Refusal.retryAfter(RefusalReason.WITNESS_FULL, text, RETRY_AFTER);
       return Uni.createFrom().failure(new RefusedException(refusal));
     }
-    Bill intent = bill.intent(route);
-    return bindNamedSession(route).onItem().transformToUni(n -> services.billing().open(intent));
+    Bill provisionalBill = bill.startAttempt(route);
+    return bindNamedSession(route)
+        .onItem()
+        .transformToUni(ignored -> services.billing().open(provisionalBill));
   }
 
   @Override
   public boolean stillAllowed(Route route) {
-    String bound = routeRequest.session().get(route.model());
-    if (bound != null && !bound.equals(route.version())) {
+    String boundVersion = routeRequest.session().get(route.model());
+    if (boundVersion != null && !boundVersion.equals(route.version())) {
       return false;
     }
-    return services.router().stillAllowed(routeRequest, route, services.tables(), bound == null);
+    return services
+        .router()
+        .stillAllowed(routeRequest, route, services.tables(), boundVersion == null);
   }
 
   @Override
@@ -137,18 +143,18 @@
   }
 
   @Override
-  public void answered(Route route, HttpClientResponse response, Ending ending) {
-    if (!isOwn(response)) {
+  public void handleResponse(Route route, HttpClientResponse response, ResponseListener listener) {
+    if (!hasMatchingRequestId(response)) {
       response.request().reset();
-      ending.broken("the answer is of another request");
+      listener.interrupted("the answer is of another request");
       return;
     }
     if (!UpstreamCaller.isGood(response)) {
-      passRefusalOn(response, ending);
+      forwardRefusal(response, listener);
     } else if (body.stream()) {
-      stream(route, response, ending);
+      stream(route, response, listener);
     } else {
-      takeWhole(route, response, ending);
+      readWhole(route, response, listener);
     }
   }
 
@@ -156,29 +162,31 @@
   public void unanswered(boolean mayHaveRun) {
     if (mayHaveRun) {
       bill.current().ifPresent(this::settle);
-      claim.ifPresent(one -> endClaim(one, LedgerEntry.Outcome.Kind.MAY_HAVE_RUN, Buffer.buffer()));
+      claim.ifPresent(
+          granted -> endClaim(granted, LedgerEntry.Outcome.Kind.MAY_HAVE_RUN, Buffer.buffer()));
     } else {
-      bill.current().ifPresent(one -> services.billing().cancel(one.id()));
+      bill.current().ifPresent(draft -> services.billing().cancel(draft.id()));
       claim.ifPresent(services.claims()::release);
     }
   }
 
-  private void settle(Bill last) {
-    services.billing().settle(last).subscribe().with(unused -> {}, request::fail);
+  private void settle(Bill finalBill) {
+    services.billing().settle(finalBill).subscribe().with(unused -> {}, request::fail);
   }
 
-  private boolean isOwn(HttpClientResponse response) {
-    String echoed = response.getHeader(Headers.UPSTREAM_REQUEST_ID);
-    return echoed == null || echoed.equals(request.id());
+  private boolean hasMatchingRequestId(HttpClientResponse response) {
+    String echoedId = response.getHeader(Headers.UPSTREAM_REQUEST_ID);
+    return echoedId == null || echoedId.equals(request.id());
   }
 
   private Uni<Void> bindNamedSession(Route route) {
-    Optional<String> named =
+    Optional<String> sessionName =
         request.session().isPresent() ? Optional.empty() : request.header(Headers.SESSION);
-    if (named.isEmpty() || routeRequest.session().containsKey(route.model())) {
+    if (sessionName.isEmpty() || routeRequest.session().containsKey(route.model())) {
       return Uni.createFrom().voidItem();
     }
-    String key = "session\n" + request.workspaceName() + "\n" + named.get() + "\n" + route.model();
+    String key =
+        "session\n" + request.workspaceName() + "\n" + sessionName.get() + "\n" + route.model();
     return services
         .ledger()
         .submit(new LedgerEntry.Binding(key, route.version()))
@@ -194,74 +202,74 @@
                     Refusal.retryAfter(
                         RefusalReason.LEDGER_UNAVAILABLE,
                         ErrorText.get().ledgerUnavailable,
-                        COME_BACK)))
+                        RETRY_AFTER)))
         .replaceWithVoid();
   }
 
-  /** Passes on that the engine finds fault with the request itself. */
-  private void passRefusalOn(HttpClientResponse response, Ending ending) {
+  /** Forwards the engine's refusal of the request itself to the caller. */
+  private void forwardRefusal(HttpClientResponse response, ResponseListener listener) {
     int status = response.statusCode();
-    WholeAnswer.take(
+    WholeResponse.receive(
         services.vertx(),
         response,
         services.settings().limits().firstByteMillis(),
         content -> {
-          ending.whole();
+          listener.completed();
           unanswered(claim.isPresent());
-          sendAsIs(status, content);
+          sendUnchanged(status, content);
         },
-        ending::broken);
+        listener::interrupted);
   }
 
-  private void sendAsIs(int status, Buffer content) {
+  private void sendUnchanged(int status, Buffer content) {
     if (!request.isEnded()) {
-      HttpServerResponse answer = request.response();
-      answer.setStatusCode(status).putHeader("Content-Type", JSON_TYPE);
+      HttpServerResponse callerResponse = request.response();
+      callerResponse.setStatusCode(status).putHeader("Content-Type", JSON_TYPE);
       request.finish();
-      answer.end(content);
+      callerResponse.end(content);
     }
   }
 
-  private void stream(Route route, HttpClientResponse response, Ending ending) {
+  private void stream(Route route, HttpClientResponse response, ResponseListener listener) {
     if (request.isEnded()) {
       response.request().reset();
-      ending.broken("the caller went away");
+      listener.interrupted("the caller went away");
       return;
     }
-    HttpServerResponse answer = request.response();
-    if (!answer.headWritten()) {
-      answer.setChunked(true).putHeader("Content-Type", "text/event-stream");
-      putHeaders(answer, route);
+    HttpServerResponse callerResponse = request.response();
+    if (!callerResponse.headWritten()) {
+      callerResponse.setChunked(true).putHeader("Content-Type", "text/event-stream");
+      putHeaders(callerResponse, route);
     }
-    Relay relay = new Relay(route, ending);
-    relay.stream = new EventStream(services.vertx(), response, answer, relay);
+    Relay relay = new Relay(route, listener);
+    relay.stream = new EventStream(services.vertx(), response, callerResponse, relay);
     relay.stream.start(services.settings().limits().betweenBytesMillis());
   }
 
-  /** Accounts for a streamed answer. */
+  /** Updates the bill and the claim of a streamed response. */
   private final class Relay implements EventStream.Listener {
     private final Route route;
-    private final Ending ending;
+    private final ResponseListener listener;
     private EventStream stream;
 
-    Relay(Route route, Ending ending) {
+    Relay(Route route, ResponseListener listener) {
       this.route = route;
-      this.ending = ending;
+      this.listener = listener;
     }
 
     @Override
     public void progressed() {
-      Bill soFar = bill.progressed(route, stream.tokens());
-      if (stream.tokens() % PROGRESS_EVERY == 1) {
-        services.billing().progress(soFar);
+      Bill currentBill = bill.progressed(route, stream.tokens());
+      if (stream.tokens() % TOKENS_PER_PROGRESS_UPDATE == 1) {
+        services.billing().progress(currentBill);
       }
     }
 
     @Override
-    public void complete(Runnable next) {
+    public void complete(Runnable sendClosingEvent) {
       succeeded(route);
       Bill settled = bill.complete(route, stream.tokens());
-      ending.whole();
+      listener.completed();
       services
           .billing()
           .settle(settled)
@@ -271,65 +279,67 @@
                 endClaimOfStream();
                 if (!request.isEnded()) {
                   request.finish();
-                  next.run();
+                  sendClosingEvent.run();
                 }
-                rate(route, stream.text()).subscribe().with(met -> {}, failure -> {});
+                requestRating(route, stream.text())
+                    .subscribe()
+                    .with(satisfied -> {}, failure -> {});
               },
               failure -> request.fail(failure));
     }
 
     @Override
-    public void broken(String problem) {
+    public void interrupted(String problem) {
       bill.progressed(route, stream.tokens());
-      ending.broken(problem);
+      listener.interrupted(problem);
     }
 
     private void endClaimOfStream() {
       claim.ifPresent(
-          one -> endClaim(one, LedgerEntry.Outcome.Kind.ANSWER_NOT_KEPT, Buffer.buffer()));
+          granted -> endClaim(granted, LedgerEntry.Outcome.Kind.ANSWER_NOT_KEPT, Buffer.buffer()));
     }
   }
 
-  private void takeWhole(Route route, HttpClientResponse response, Ending ending) {
-    WholeAnswer.take(
+  private void readWhole(Route route, HttpClientResponse response, ResponseListener listener) {
+    WholeResponse.receive(
         services.vertx(),
         response,
         services.settings().limits().firstByteMillis(),
-        content -> wholeTaken(route, content, ending),
-        ending::broken);
+        content -> handleWhole(route, content, listener),
+        listener::interrupted);
   }
 
-  private void wholeTaken(Route route, Buffer content, Ending ending) {
+  private void handleWhole(Route route, Buffer content, ResponseListener listener) {
     JsonNode node = read(content);
     if (!node.path("choices").isArray()) {
-      ending.broken("its answer is no chat answer");
+      listener.interrupted("its answer is no chat answer");
       return;
     }
     int tokens = node.path("usage").path("completion_tokens").asInt();
     String text = node.path("choices").path(0).path("message").path("content").asText();
     succeeded(route);
     Bill settled = bill.complete(route, tokens);
-    rate(route, text)
+    requestRating(route, text)
         .subscribe()
         .with(
-            met -> {
-              if (met.equals(Optional.of(false)) && hasStrongerStage(route)) {
+            satisfied -> {
+              if (satisfied.equals(Optional.of(false)) && hasStrongerStage(route)) {
                 routeRequest = routeRequest.fromStage(route.stage() + 1);
-                ending.escalate();
+                listener.escalated();
               } else {
-                finishWhole(route, content, settled, ending);
+                finishWhole(route, content, settled, listener);
               }
             },
             request::fail);
   }
 
-  private void finishWhole(Route route, Buffer content, Bill settled, Ending ending) {
-    ending.whole();
-    Uni<Void> recorded =
+  private void finishWhole(Route route, Buffer content, Bill settled, ResponseListener listener) {
+    listener.completed();
+    Uni<Void> outcomeRecorded =
         claim.isPresent()
             ? endClaim(claim.get(), LedgerEntry.Outcome.Kind.ANSWERED, content)
             : Uni.createFrom().voidItem();
-    recorded
+    outcomeRecorded
         .onItem()
         .transformToUni(unused -> services.billing().settle(settled))
         .subscribe()
@@ -340,11 +350,11 @@
     if (request.isEnded()) {
       return;
     }
-    HttpServerResponse answer = request.response();
-    answer.putHeader("Content-Type", JSON_TYPE);
-    putHeaders(answer, route);
+    HttpServerResponse callerResponse = request.response();
+    callerResponse.putHeader("Content-Type", JSON_TYPE);
+    putHeaders(callerResponse, route);
     request.finish();
-    answer.end(content);
+    callerResponse.end(content);
   }
 
   private boolean hasStrongerStage(Route route) {
@@ -356,7 +366,7 @@
         .orElse(false);
   }
 
-  private Uni<Optional<Boolean>> rate(Route route, String text) {
+  private Uni<Optional<Boolean>> requestRating(Route route, String text) {
     RatingClient.Answer answer =
         new RatingClient.Answer(request.id(), request.workspaceName(), task, route.version(), text);
     RatingTable.Subject subject =
@@ -365,43 +375,48 @@
     return services
         .rating()
         .rate(answer)
-        .invoke(met -> met.ifPresent(one -> rated(route, subject, one)));
+        .invoke(satisfied -> satisfied.ifPresent(isMet -> rated(route, subject, isMet)));
   }
 
-  private void rated(Route route, RatingTable.Subject subject, boolean met) {
-    services.tables().ratings().rated(subject, met);
-    services.guard().outcome(route.model(), route.version(), RolloutGuard.Measure.RATINGS, !met);
+  private void rated(Route route, RatingTable.Subject subject, boolean satisfied) {
+    services.tables().ratings().rated(subject, satisfied);
+    services
+        .guard()
+        .outcome(route.model(), route.version(), RolloutGuard.Measure.RATINGS, !satisfied);
   }
 
   private void succeeded(Route route) {
     services.tables().upstreams().row(route.upstream()).rememberPrefix(body.prefix());
     services.guard().outcome(route.model(), route.version(), RolloutGuard.Measure.ERRORS, false);
-    Duration taken = Duration.between(request.started(), services.clock().instant());
-    services.meters().time("answer.whole", taken);
+    Duration elapsed = Duration.between(request.started(), services.clock().instant());
+    services.meters().time("answer.whole", elapsed);
   }
 
-  private Uni<Void> endClaim(ClaimDesk.Claim held, LedgerEntry.Outcome.Kind kind, Buffer content) {
-    boolean kept = content.length() <= MAXIMUM_KEPT_ANSWER;
-    LedgerEntry.Outcome.Kind known =
-        kind == LedgerEntry.Outcome.Kind.ANSWERED && !kept
+  private Uni<Void> endClaim(
+      ClaimDesk.Claim claimed, LedgerEntry.Outcome.Kind kind, Buffer content) {
+    boolean isRecorded = content.length() <= MAXIMUM_RECORDED_BYTES;
+    LedgerEntry.Outcome.Kind recordedKind =
+        kind == LedgerEntry.Outcome.Kind.ANSWERED && !isRecorded
             ? LedgerEntry.Outcome.Kind.ANSWER_NOT_KEPT
             : kind;
-    String text = kept ? content.toString() : "";
+    String text = isRecorded ? content.toString() : "";
     return services
         .claims()
-        .end(new LedgerEntry.Outcome(held.key(), held.attempt(), known, 200, JSON_TYPE, text));
+        .end(
+            new LedgerEntry.Outcome(
+                claimed.key(), claimed.attempt(), recordedKind, 200, JSON_TYPE, text));
   }
 
-  private void putHeaders(HttpServerResponse answer, Route route) {
-    SessionToken old =
+  private void putHeaders(HttpServerResponse callerResponse, Route route) {
+    SessionToken previousToken =
         request
             .session()
             .orElseGet(() -> new SessionToken(request.id(), request.workspaceName(), Map.of()));
-    SessionToken bound = old.binding(route.model(), route.version());
-    answer.putHeader(Headers.SESSION, bound.sign(services.sessionKeys()));
-    answer.putHeader(Headers.REQUEST_ID, request.id());
-    answer.putHeader(Headers.VERSION, route.version());
-    answer.putHeader(Headers.UPSTREAM, route.upstream());
+    SessionToken updatedToken = previousToken.binding(route.model(), route.version());
+    callerResponse.putHeader(Headers.SESSION, updatedToken.sign(services.sessionKeys()));
+    callerResponse.putHeader(Headers.REQUEST_ID, request.id());
+    callerResponse.putHeader(Headers.VERSION, route.version());
+    callerResponse.putHeader(Headers.UPSTREAM, route.upstream());
   }
 
   private static JsonNode read(Buffer content) {
--- a/org.oatlug/src/org/oatlug/internal/http/EventStream.java
+++ b/org.oatlug/src/org/oatlug/internal/http/EventStream.java
@@ -14,19 +14,19 @@
 import org.oatlug.internal.util.Json;
 
 /**
- * Passes the server-sent events of an answer on to the caller.
+ * Forwards the server-sent events of a response to the caller.
  *
- * <p>Invariants: events are passed on whole, in order, as they came; the closing event is held back
- * until the answer was accounted for; a stream that ends without the closing event is reported as
- * broken. A slow caller pauses the upstream, so that no more than one buffer waits here. Used from
- * one event loop.
+ * <p>Invariants: events are forwarded whole, unchanged and in order; the closing event is delayed
+ * until the bill is settled; a stream that ends without the closing event is reported as
+ * interrupted. A slow caller pauses the upstream, so that at most one buffer is queued here. Used
+ * from one event loop.
  */
 final class EventStream {
   private static final String DELIMITER = "\n\n";
   private static final String DATA = "data:";
   private static final String DONE = "[DONE]";
-  private static final int MAXIMUM_EVENT = 1024 * 1024;
-  private static final int MAXIMUM_TEXT = 16 * 1024;
+  private static final int MAXIMUM_EVENT_BYTES = 1024 * 1024;
+  private static final int MAXIMUM_TEXT_CHARACTERS = 16 * 1024;
 
   private final Vertx vertx;
   private final HttpClientResponse source;
@@ -35,7 +35,7 @@
   private final StringBuilder text = new StringBuilder();
   private RecordParser events;
   private int tokens;
-  private boolean activity;
+  private boolean active;
   private boolean ended;
   private long timer;
 
@@ -47,58 +47,57 @@
     this.listener = listener;
   }
 
-  /** Takes reports of the stream. */
+  /** Receives the progress and the end of the stream. */
   interface Listener {
     /**
-     * Every event but the closing one was passed on; the closing one follows after {@code next}.
+     * All events but the closing one were forwarded; {@code sendClosingEvent} sends the closing
+     * one.
      */
-    void complete(Runnable next);
+    void complete(Runnable sendClosingEvent);
 
-    /** The stream broke off. */
-    void broken(String problem);
+    /** The stream was interrupted. */
+    void interrupted(String problem);
 
-    /** Another event was passed on. */
+    /** An event was forwarded. */
     void progressed();
   }
 
-  /**
-   * Starts to pass events on; the upstream may pause at most {@code patienceMillis} between two.
-   */
-  void start(long patienceMillis) {
+  /** Starts forwarding; the stream fails if the upstream is idle for {@code idleTimeoutMillis}. */
+  void start(long idleTimeoutMillis) {
     events = RecordParser.newDelimited(DELIMITER, source);
-    events.maxRecordSize(MAXIMUM_EVENT);
+    events.maxRecordSize(MAXIMUM_EVENT_BYTES);
     events.exceptionHandler(failure -> fail(String.valueOf(failure.getMessage())));
     events.endHandler(unused -> fail("it ended without its closing event"));
     target.drainHandler(unused -> resume());
-    timer = vertx.setPeriodic(patienceMillis, unused -> checkActivity());
-    events.handler(this::received);
+    timer = vertx.setPeriodic(idleTimeoutMillis, unused -> checkActivity());
+    events.handler(this::handleEvent);
     source.resume();
   }
 
-  /** Returns the number of tokens that were passed on. */
+  /** Returns the number of forwarded tokens. */
   int tokens() {
     return tokens;
   }
 
-  /** Returns the start of the answer's text. */
+  /** Returns the start of the generated text. */
   String text() {
     return text.toString();
   }
 
-  private void received(Buffer event) {
+  private void handleEvent(Buffer event) {
     if (ended) {
       return;
     }
-    activity = true;
-    String line = event.toString(StandardCharsets.UTF_8);
-    String data = line.startsWith(DATA) ? line.substring(DATA.length()).trim() : "";
+    active = true;
+    String eventText = event.toString(StandardCharsets.UTF_8);
+    String data = eventText.startsWith(DATA) ? eventText.substring(DATA.length()).trim() : "";
     if (data.equals(DONE)) {
       stop();
-      Buffer closing = event.copy().appendString(DELIMITER);
-      listener.complete(() -> target.end(closing));
+      Buffer closingEvent = event.copy().appendString(DELIMITER);
+      listener.complete(() -> target.end(closingEvent));
       return;
     }
-    count(data);
+    countToken(data);
     target.write(event.copy().appendString(DELIMITER));
     listener.progressed();
     if (target.writeQueueFull()) {
@@ -107,19 +106,19 @@
   }
 
   private void resume() {
-    activity = true;
+    active = true;
     if (!ended) {
       events.resume();
     }
   }
 
-  private void count(String data) {
+  private void countToken(String data) {
     String content = contentOf(data);
     if (content.isEmpty()) {
       return;
     }
     tokens++;
-    if (text.length() < MAXIMUM_TEXT) {
+    if (text.length() < MAXIMUM_TEXT_CHARACTERS) {
       text.append(content);
     }
   }
@@ -134,17 +133,17 @@
   }
 
   private void checkActivity() {
-    if (!activity && !target.writeQueueFull()) {
+    if (!active && !target.writeQueueFull()) {
       fail("it stood still");
       source.request().reset();
     }
-    activity = false;
+    active = false;
   }
 
   private void fail(String problem) {
     if (!ended) {
       stop();
-      listener.broken(problem);
+      listener.interrupted(problem);
     }
   }
 
--- a/org.oatlug/src/org/oatlug/internal/http/Forwarding.java
+++ b/org.oatlug/src/org/oatlug/internal/http/Forwarding.java
@@ -26,28 +26,28 @@
 import org.oatlug.internal.util.LogKeys;
 
 /**
- * Brings one request to an upstream and retries where that is safe.
+ * Forwards one request to an upstream and retries it where that is safe.
  *
- * <p>Invariants: where a request goes is decided anew before each attempt and checked last before
- * bytes leave. A request that may not be repeated is not tried again once a byte may have left,
- * unless an upstream whose refusals are trusted refused it; it is not cancelled either, so that its
- * outcome is known. Retries stay within the retry budget and the deadline and go to another
- * upstream. Each reservation is released once. Used from one event loop.
+ * <p>Invariants: the route is decided before each attempt and revalidated immediately before bytes
+ * are sent. A request that is not repeatable is not retried once a byte may have been sent, unless
+ * an upstream whose refusals are trusted refused it; it is not cancelled either, so that its
+ * outcome becomes known. Retries stay within the retry budget and the deadline and go to another
+ * upstream. Each reservation is released exactly once. Used from one event loop.
  */
 final class Forwarding {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-  private static final Duration COME_BACK = Duration.ofSeconds(1);
-  private static final Duration CONFIRM_PATIENCE = Duration.ofSeconds(3);
-  private static final long CONFIRM_POLL_MILLIS = 10;
+  private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
+  private static final Duration CONFIRMATION_TIMEOUT = Duration.ofSeconds(3);
+  private static final long CONFIRMATION_POLL_MILLIS = 10;
 
   private final Services services;
   private final CallerRequest request;
   private final Plan plan;
-  private final Set<String> failed = new HashSet<>();
+  private final Set<String> failedUpstreams = new HashSet<>();
   private UpstreamCaller.Attempt attempt = UpstreamCaller.Attempt.whileRight(() -> true);
   private boolean dispatched;
   private boolean mayHaveRun;
-  private boolean reported;
+  private boolean outcomeReported;
   private long deadlineTimer;
 
   Forwarding(Services services, CallerRequest request, Plan plan) {
@@ -56,59 +56,60 @@
     this.plan = plan;
   }
 
-  /** Starts the request. */
+  /** Starts forwarding the request. */
   void start() {
     services.retries().firstTry();
-    request.onGone(this::callerGone);
-    Duration left = Duration.between(services.clock().instant(), request.deadline());
-    long millis = Math.max(1, left.toMillis());
+    request.onDisconnect(this::callerDisconnected);
+    Duration remaining = Duration.between(services.clock().instant(), request.deadline());
+    long millis = Math.max(1, remaining.toMillis());
     deadlineTimer = services.vertx().setTimer(millis, unused -> deadlinePassed());
-    tryOnce();
+    startAttempt();
   }
 
-  private void tryOnce() {
-    whenConfirmed(services.clock().instant().plus(CONFIRM_PATIENCE), this::decide);
+  private void startAttempt() {
+    whenConfirmed(services.clock().instant().plus(CONFIRMATION_TIMEOUT), this::decide);
   }
 
-  /** Waits until the configuration is confirmed after a pause of the process. */
-  private void whenConfirmed(Instant limit, Runnable then) {
-    services.pause().check();
-    boolean late = services.clock().instant().isAfter(limit);
-    if (services.tables().freshness().isConfirmed() || request.isEnded() || late) {
-      then.run();
+  /** Runs the action once the configuration is confirmed after a process pause, or at the limit. */
+  private void whenConfirmed(Instant timeLimit, Runnable action) {
+    services.pauseDetector().check();
+    boolean isLate = services.clock().instant().isAfter(timeLimit);
+    if (services.tables().freshness().isConfirmed() || request.isEnded() || isLate) {
+      action.run();
       return;
     }
-    services.vertx().setTimer(CONFIRM_POLL_MILLIS, unused -> whenConfirmed(limit, then));
+    services.vertx().setTimer(CONFIRMATION_POLL_MILLIS, unused -> whenConfirmed(timeLimit, action));
   }
 
   private void decide() {
     if (request.isEnded()) {
-      unanswered();
+      finishUnanswered();
       return;
     }
     if (!services.tables().freshness().isConfirmed()) {
       refuse(RefusalReason.CONFIGURATION_UNCONFIRMED, ErrorText.get().configurationUnconfirmed);
       return;
     }
-    if (!findsPlace()) {
-      waitInLine();
+    if (!tryRoute()) {
+      waitForCapacity();
     }
   }
 
-  /** Waits at this instance until an upstream has a place, or refuses at once. */
-  private void waitInLine() {
+  /** Queues the request at this instance until an upstream has capacity, or refuses it at once. */
+  private void waitForCapacity() {
     Instant now = services.clock().instant();
-    Instant longest = now.plusMillis(services.settings().limits().firstByteMillis());
-    Instant deadline = longest.isBefore(request.deadline()) ? longest : request.deadline();
-    WaitingLine.Waiting waiting =
+    Instant firstByteDeadline = now.plusMillis(services.settings().limits().firstByteMillis());
+    Instant deadline =
+        firstByteDeadline.isBefore(request.deadline()) ? firstByteDeadline : request.deadline();
+    WaitingLine.Waiting queuedRequest =
         new WaitingLine.Waiting(
             plan.target(),
             request.workspace().priority(),
             deadline,
-            this::findsPlace,
+            this::tryRoute,
             () -> refuse(RefusalReason.OVERLOADED, ErrorText.get().overloaded));
     services.meters().count("line.asked");
-    services.line().enter(waiting, now).ifPresent(wait -> end(overloaded(wait)));
+    services.waitQueue().enter(queuedRequest, now).ifPresent(wait -> end(overloaded(wait)));
   }
 
   private Refusal overloaded(Duration wait) {
@@ -118,13 +119,13 @@
         : Refusal.retryAfter(RefusalReason.OVERLOADED, text, wait);
   }
 
-  /** Decides where the request goes; returns false if it has to wait for a place. */
-  private boolean findsPlace() {
+  /** Decides the route and starts an attempt; returns false if no upstream has capacity. */
+  private boolean tryRoute() {
     if (request.isEnded()) {
-      unanswered();
+      finishUnanswered();
       return true;
     }
-    RoutingDecision decision = plan.decide(Set.copyOf(failed), services.clock().instant());
+    RoutingDecision decision = plan.decide(Set.copyOf(failedUpstreams), services.clock().instant());
     if (decision.refusal().equals(Optional.of(RefusalReason.OVERLOADED))) {
       return false;
     }
@@ -137,24 +138,24 @@
     row.reserve();
     plan.prepare(route)
         .subscribe()
-        .with(unused -> prepared(route, row), failure -> unprepared(row, failure));
+        .with(unused -> prepared(route, row), failure -> preparationFailed(row, failure));
     return true;
   }
 
-  /** Gives the place back, and lets those that wait try for it. */
+  /** Releases the reservation and serves the queued requests. */
   private void release(UpstreamRow row) {
     row.release();
     Instant now = services.clock().instant();
-    services.line().freed(now);
-    services.vertx().runOnContext(unused -> services.line().serve(now));
+    services.waitQueue().freed(now);
+    services.vertx().runOnContext(unused -> services.waitQueue().serve(now));
   }
 
   private void prepared(Route route, UpstreamRow row) {
-    Instant limit = services.clock().instant().plus(CONFIRM_PATIENCE);
-    whenConfirmed(limit, () -> dispatch(route, row));
+    Instant timeLimit = services.clock().instant().plus(CONFIRMATION_TIMEOUT);
+    whenConfirmed(timeLimit, () -> dispatch(route, row));
   }
 
-  private void unprepared(UpstreamRow row, Throwable failure) {
+  private void preparationFailed(UpstreamRow row, Throwable failure) {
     release(row);
     if (failure instanceof RefusedException refused) {
       end(refused.refusal());
@@ -163,7 +164,7 @@
           .atSevere()
           .withCause(failure)
           .with(LogKeys.REQUEST_ID, request.id())
-          .log("the request was not prepared");
+          .log("failed to prepare the request");
       refuse(RefusalReason.LEDGER_UNAVAILABLE, ErrorText.get().ledgerUnavailable);
     }
   }
@@ -171,31 +172,31 @@
   private void dispatch(Route route, UpstreamRow row) {
     if (request.isEnded()) {
       release(row);
-      unanswered();
+      finishUnanswered();
       return;
     }
-    if (!isStillRight(route, row)) {
+    if (!isRouteValid(route, row)) {
       routeChanged(row);
       return;
     }
     Upstream upstream = services.tables().catalogue().upstream(route.upstream()).orElseThrow();
-    attempt = UpstreamCaller.Attempt.whileRight(() -> isStillRight(route, row));
+    attempt = UpstreamCaller.Attempt.whileRight(() -> isRouteValid(route, row));
     dispatched = true;
     Instant sent = services.clock().instant();
     services
         .caller()
         .send(route.upstream(), upstream, plan.call(route), attempt)
         .onComplete(
-            response -> answered(route, row, sent, response),
+            response -> handleResponse(route, row, sent, response),
             failure -> attemptFailed(route, row, upstream, failure));
   }
 
-  private boolean isStillRight(Route route, UpstreamRow row) {
+  private boolean isRouteValid(Route route, UpstreamRow row) {
     Optional<Upstream> upstream = services.tables().catalogue().upstream(route.upstream());
-    boolean gone = upstream.isEmpty() || upstream.get().leaving() || row.leaving();
-    boolean rests = row.isResting(services.clock().instant());
-    return !gone
-        && !rests
+    boolean isRemoved = upstream.isEmpty() || upstream.get().leaving() || row.leaving();
+    boolean isBackingOff = row.isResting(services.clock().instant());
+    return !isRemoved
+        && !isBackingOff
         && services.tables().freshness().isConfirmed()
         && plan.stillAllowed(route);
   }
@@ -203,61 +204,62 @@
   private void routeChanged(UpstreamRow row) {
     services.meters().count("retry.route-changed");
     release(row);
-    tryOnce();
+    startAttempt();
   }
 
-  private void answered(Route route, UpstreamRow row, Instant sent, HttpClientResponse response) {
-    Duration toFirstByte = Duration.between(sent, services.clock().instant());
-    services.meters().time("upstream.first-byte", toFirstByte);
-    plan.answered(
+  private void handleResponse(
+      Route route, UpstreamRow row, Instant sent, HttpClientResponse response) {
+    Duration timeToFirstByte = Duration.between(sent, services.clock().instant());
+    services.meters().time("upstream.first-byte", timeToFirstByte);
+    plan.handleResponse(
         route,
         response,
-        new Plan.Ending() {
+        new Plan.ResponseListener() {
           @Override
-          public void whole() {
-            answerTaken(row);
-            reported = true;
+          public void completed() {
+            responseCompleted(row);
+            outcomeReported = true;
           }
 
           @Override
-          public void escalate() {
-            answerTaken(row);
+          public void escalated() {
+            responseCompleted(row);
             mayHaveRun = true;
             services.meters().count("retry.cascade-escalation");
-            tryOnce();
+            startAttempt();
           }
 
           @Override
-          public void broken(String problem) {
+          public void interrupted(String problem) {
             release(row);
-            answerBroken(route, row, problem);
+            responseInterrupted(route, row, problem);
           }
         });
   }
 
-  private void answerTaken(UpstreamRow row) {
+  private void responseCompleted(UpstreamRow row) {
     release(row);
     row.succeeded(services.clock().instant());
     services.vertx().cancelTimer(deadlineTimer);
   }
 
-  private void answerBroken(Route route, UpstreamRow row, String problem) {
+  private void responseInterrupted(Route route, UpstreamRow row, String problem) {
     mayHaveRun = true;
     dispatched = false;
     if (request.isEnded()) {
-      unanswered();
+      finishUnanswered();
       return;
     }
     logger
         .atWarning()
         .with(LogKeys.REQUEST_ID, request.id())
-        .log("the answer of %s broke off: %s", route.upstream(), problem);
+        .log("the response of %s was interrupted: %s", route.upstream(), problem);
     row.failed(services.clock().instant());
     plan.attemptFailed(route);
-    failed.add(route.upstream());
-    boolean begun = request.response().headWritten();
-    if (!begun && plan.isRepeatable() && mayRetry("answer-broken")) {
-      tryOnce();
+    failedUpstreams.add(route.upstream());
+    boolean isHeadWritten = request.response().headWritten();
+    if (!isHeadWritten && plan.isRepeatable() && mayRetry("answer-broken")) {
+      startAttempt();
       return;
     }
     String text = ErrorText.format(ErrorText.get().upstreamFailed, route.upstream(), problem);
@@ -266,49 +268,56 @@
 
   private void attemptFailed(Route route, UpstreamRow row, Upstream upstream, Throwable failure) {
     dispatched = false;
-    UpstreamFailedException known =
+    UpstreamFailedException upstreamFailure =
         failure instanceof UpstreamFailedException typed
             ? typed
             : new UpstreamFailedException(
                 route.upstream(), Progress.SENT, failure.getClass().getSimpleName());
-    boolean unsent = known.progress() == Progress.NOT_SENT;
-    if (unsent && !request.isEnded() && !isStillRight(route, row)) {
+    boolean isUnsent = upstreamFailure.progress() == Progress.NOT_SENT;
+    if (isUnsent && !request.isEnded() && !isRouteValid(route, row)) {
       routeChanged(row);
       return;
     }
     release(row);
-    boolean trusted = known.progress() == Progress.REFUSED && upstream.trustedRefusals();
-    boolean ran = !unsent && !trusted;
-    mayHaveRun |= ran;
+    boolean isTrustedRefusal =
+        upstreamFailure.progress() == Progress.REFUSED && upstream.trustedRefusals();
+    boolean attemptMayHaveRun = !isUnsent && !isTrustedRefusal;
+    mayHaveRun |= attemptMayHaveRun;
     if (request.isEnded()) {
-      unanswered();
+      finishUnanswered();
       return;
     }
-    noteFailure(row, known);
-    failed.add(route.upstream());
-    if (known.progress() == Progress.SENT) {
+    recordFailure(row, upstreamFailure);
+    failedUpstreams.add(route.upstream());
+    if (upstreamFailure.progress() == Progress.SENT) {
       plan.attemptFailed(route);
     }
-    boolean safe = !ran || plan.isRepeatable();
-    if (safe && mayRetry(known.progress().name().toLowerCase(Locale.ROOT).replace('_', '-'))) {
-      tryOnce();
+    boolean isRetryable = !attemptMayHaveRun || plan.isRepeatable();
+    if (isRetryable
+        && mayRetry(upstreamFailure.progress().name().toLowerCase(Locale.ROOT).replace('_', '-'))) {
+      startAttempt();
       return;
     }
-    boolean refused = known.progress() == Progress.REFUSED;
+    boolean isRefused = upstreamFailure.progress() == Progress.REFUSED;
     refuse(
-        refused ? RefusalReason.UPSTREAM_REFUSED : RefusalReason.UPSTREAM_FAILED,
-        known.getMessage());
+        isRefused ? RefusalReason.UPSTREAM_REFUSED : RefusalReason.UPSTREAM_FAILED,
+        upstreamFailure.getMessage());
   }
 
-  /** One that sheds load and asks for rest has not failed, and gets the rest. */
-  private void noteFailure(UpstreamRow row, UpstreamFailedException failure) {
+  /**
+   * An upstream that sheds load and requests back-off is not counted as failed; it is excluded
+   * until the back-off ends.
+   */
+  private void recordFailure(UpstreamRow row, UpstreamFailedException failure) {
     Instant now = services.clock().instant();
-    failure.rest().ifPresentOrElse(rest -> row.restUntil(now.plus(rest)), () -> row.failed(now));
+    failure
+        .rest()
+        .ifPresentOrElse(backOff -> row.restUntil(now.plus(backOff)), () -> row.failed(now));
   }
 
   private boolean mayRetry(String cause) {
-    boolean inTime = services.clock().instant().isBefore(request.deadline());
-    if (!inTime || !services.retries().takeRetry()) {
+    boolean beforeDeadline = services.clock().instant().isBefore(request.deadline());
+    if (!beforeDeadline || !services.retries().takeRetry()) {
       services.meters().count("retry.not-in-budget");
       return false;
     }
@@ -334,25 +343,25 @@
       end(Refusal.unknown(reason, text));
       return;
     }
-    boolean passing = reason.status() >= RefusalReason.UPSTREAM_FAILED.status();
-    end(passing ? Refusal.retryAfter(reason, text, COME_BACK) : Refusal.notRun(reason, text));
+    boolean isTransient = reason.status() >= RefusalReason.UPSTREAM_FAILED.status();
+    end(isTransient ? Refusal.retryAfter(reason, text, RETRY_AFTER) : Refusal.notRun(reason, text));
   }
 
   private void end(Refusal refusal) {
-    unanswered();
+    finishUnanswered();
     request.refuse(refusal);
   }
 
-  private void unanswered() {
+  private void finishUnanswered() {
     services.vertx().cancelTimer(deadlineTimer);
-    if (!reported) {
-      reported = true;
+    if (!outcomeReported) {
+      outcomeReported = true;
       plan.unanswered(mayHaveRun || dispatched);
     }
   }
 
-  /** The outcome of a request that may not be repeated is still wanted when its caller is not. */
-  private void callerGone() {
+  /** Cancels only a repeatable request, since the outcome of any other must still be recorded. */
+  private void callerDisconnected() {
     if (plan.isRepeatable()) {
       attempt.cancel();
     }
--- a/org.oatlug/src/org/oatlug/internal/http/Headers.java
+++ b/org.oatlug/src/org/oatlug/internal/http/Headers.java
@@ -3,7 +3,7 @@
 
 package org.oatlug.internal.http;
 
-/** The names of the headers of callers' requests and answers. */
+/** Names of the HTTP headers of requests and responses. */
 final class Headers {
   static final String AUTHORIZATION = "Authorization";
   static final String DEADLINE = "Oatlug-Deadline-Ms";
--- a/org.oatlug/src/org/oatlug/internal/http/OperatorServer.java
+++ b/org.oatlug/src/org/oatlug/internal/http/OperatorServer.java
@@ -31,12 +31,12 @@
 import org.oatlug.platform.StoreRevision;
 
 /**
- * The server that operators and the platform's balancer talk to, on a port of its own: {@code
- * /healthz}, {@code /readyz}, {@code /metrics}, {@code /status}, {@code /explain} and {@code
- * /in-force}. Used from one event loop.
+ * HTTP server for operators and the platform's load balancer, on a separate port: {@code /healthz},
+ * {@code /readyz}, {@code /metrics}, {@code /status}, {@code /explain} and {@code /in-force}. Used
+ * from one event loop.
  */
 public final class OperatorServer {
-  private static final Duration PATIENCE = Duration.ofMillis(800);
+  private static final Duration PEER_TIMEOUT = Duration.ofMillis(800);
   private static final int UNAVAILABLE = 503;
 
   private final Services services;
@@ -50,15 +50,15 @@
   }
 
   /**
-   * Returns the server of an instance, which does not listen yet.
+   * Creates the server of an instance, which does not listen yet.
    *
-   * @param ready whether the instance may get callers
+   * @param ready whether the instance may receive requests of callers
    */
   public static OperatorServer create(Services services, BooleanSupplier ready) {
     return new OperatorServer(services, ready);
   }
 
-  /** Starts to accept operators. */
+  /** Starts to accept connections of operators. */
   public Future<HttpServer> listen() {
     Router router = Router.router(services.vertx());
     router.get("/healthz").handler(context -> context.response().end("ok\n"));
@@ -94,21 +94,21 @@
   }
 
   private void status(RoutingContext context) {
-    ObjectNode answer = Json.STRICT.createObjectNode();
-    answer.put("name", services.settings().name());
-    answer.put("zone", services.settings().zone());
-    answer.put("ready", ready.getAsBoolean());
-    answer.put("reader", services.membership().isReader());
-    answer.put("openRequests", services.open().count());
-    answer.put("unconfirmedBills", services.billing().unconfirmed());
-    answer.put("heldBills", services.billing().held());
-    answer.put("unrecordedOutcomes", services.claims().unrecorded());
+    ObjectNode responseBody = Json.STRICT.createObjectNode();
+    responseBody.put("name", services.settings().name());
+    responseBody.put("zone", services.settings().zone());
+    responseBody.put("ready", ready.getAsBoolean());
+    responseBody.put("reader", services.membership().isReader());
+    responseBody.put("openRequests", services.open().count());
+    responseBody.put("unconfirmedBills", services.billing().unconfirmed());
+    responseBody.put("heldBills", services.billing().held());
+    responseBody.put("unrecordedOutcomes", services.claims().unrecorded());
     services
         .tables()
         .freshness()
         .age(services.clock().instant())
-        .ifPresent(age -> answer.put("configurationAgeMillis", age.toMillis()));
-    ArrayNode instances = answer.putArray("instances");
+        .ifPresent(age -> responseBody.put("configurationAgeMillis", age.toMillis()));
+    ArrayNode instances = responseBody.putArray("instances");
     for (Member member : services.membership().all()) {
       instances
           .addObject()
@@ -116,7 +116,7 @@
           .put("zone", member.zone())
           .put("state", member.state().name());
     }
-    ArrayNode upstreams = answer.putArray("upstreams");
+    ArrayNode upstreams = responseBody.putArray("upstreams");
     for (UpstreamRow row : services.tables().upstreams().all()) {
       upstreams
           .addObject()
@@ -125,7 +125,7 @@
           .put("expectedLoad", row.expectedLoad())
           .put("leaving", row.leaving());
     }
-    send(context, answer);
+    send(context, responseBody);
   }
 
   private void explain(RoutingContext context) {
@@ -144,32 +144,34 @@
     send(context, Json.STRICT.valueToTree(decision));
   }
 
-  /** Answers which revision of an object is in force at each live instance. */
+  /** Sends the revision of an object that each live instance applies. */
   private void inForce(RoutingContext context) {
     ObjectKey key = ObjectKey.valueOf(parameter(context, "kind"), parameter(context, "name"));
-    ObjectNode answer = Json.STRICT.createObjectNode();
-    ObjectNode versions = answer.putObject("instances");
-    StoreRevision own = services.tables().catalogue().revisionOf(key.kind(), key.name());
-    versions.set(services.settings().name(), Json.STRICT.valueToTree(own));
-    List<Uni<StoreRevision>> asked = new ArrayList<>();
+    ObjectNode responseBody = Json.STRICT.createObjectNode();
+    ObjectNode versions = responseBody.putObject("instances");
+    StoreRevision ownRevision = services.tables().catalogue().revisionOf(key.kind(), key.name());
+    versions.set(services.settings().name(), Json.STRICT.valueToTree(ownRevision));
+    List<Uni<StoreRevision>> queries = new ArrayList<>();
     for (Member member : services.membership().live()) {
       if (!services.membership().isSelf(member)) {
-        asked.add(
+        queries.add(
             revisionAt(member, key)
-                .invoke(found -> versions.set(member.name(), Json.STRICT.valueToTree(found))));
+                .invoke(
+                    peerRevision ->
+                        versions.set(member.name(), Json.STRICT.valueToTree(peerRevision))));
       }
     }
-    if (asked.isEmpty()) {
-      send(context, answer);
+    if (queries.isEmpty()) {
+      send(context, responseBody);
       return;
     }
-    Uni.join().all(asked).andFailFast().subscribe().with(all -> send(context, answer));
+    Uni.join().all(queries).andFailFast().subscribe().with(unused -> send(context, responseBody));
   }
 
   private Uni<StoreRevision> revisionAt(Member member, ObjectKey key) {
     return services
         .network()
-        .ask(member, new PeerMessage.VersionQuery(key), PATIENCE)
+        .ask(member, new PeerMessage.VersionQuery(key), PEER_TIMEOUT)
         .map(message -> ((PeerMessage.VersionAnswer) message).revision())
         .onFailure()
         .recoverWithItem(StoreRevision.NONE);
@@ -180,8 +182,8 @@
     return value == null ? "" : value;
   }
 
-  private static void send(RoutingContext context, ObjectNode answer) {
+  private static void send(RoutingContext context, ObjectNode responseBody) {
     context.response().putHeader("Content-Type", "application/json");
-    context.response().end(answer.toString());
+    context.response().end(responseBody.toString());
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/http/Plan.java
+++ b/org.oatlug/src/org/oatlug/internal/http/Plan.java
@@ -11,45 +11,45 @@
 import org.oatlug.internal.routing.RoutingDecision;
 import org.oatlug.internal.routing.RoutingDecision.Route;
 
-/** What one kind of request does at the steps of its way. Used from one event loop. */
+/** Processing steps of one kind of request. Used from one event loop. */
 interface Plan {
 
-  /** Returns what the caller asked for, for messages. */
+  /** Returns the requested model or application, for messages. */
   String target();
 
   /** Returns whether the request may run more than once. */
   boolean isRepeatable();
 
-  /** Decides where the request goes, without the upstreams that failed it. */
+  /** Decides the route of the request, without the excluded upstreams. */
   RoutingDecision decide(Set<String> excluded, Instant now);
 
-  /** Prepares for the route; a failure with a refusal ends the request, which did not run. */
+  /** Prepares an attempt; a failure with a refusal ends the request, which did not run. */
   Uni<Void> prepare(Route route);
 
-  /** Returns whether the route still holds; asked last before bytes leave. */
+  /** Returns whether the route is still valid; checked immediately before bytes are sent. */
   boolean stillAllowed(Route route);
 
-  /** Returns what is sent. */
+  /** Returns the call to send to the upstream. */
   UpstreamCaller.Call call(Route route);
 
-  /** Is told that an attempt failed at the version. */
+  /** Handles a failed attempt at the version of the route. */
   void attemptFailed(Route route);
 
-  /** Takes over the answer, which is paused, and reports once how it ended. */
-  void answered(Route route, HttpClientResponse response, Ending ending);
+  /** Takes over the paused response and notifies the listener once of its end. */
+  void handleResponse(Route route, HttpClientResponse response, ResponseListener listener);
 
-  /** Is told once that the request ends without a whole answer, and whether it may have run. */
+  /** Handles, once, the end of the request without a complete response. */
   void unanswered(boolean mayHaveRun);
 
-  /** Takes the report how an answer ended. */
-  interface Ending {
-    /** The whole answer was taken. */
-    void whole();
+  /** Receives the end of an upstream response. */
+  interface ResponseListener {
+    /** The response was read completely. */
+    void completed();
 
-    /** The answer broke off. */
-    void broken(String problem);
+    /** The response was interrupted or invalid. */
+    void interrupted(String problem);
 
-    /** The whole answer was taken but a stronger stage shall answer. */
-    void escalate();
+    /** The response was read completely, but the request escalates to a stronger stage. */
+    void escalated();
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/http/Problem.java
+++ b/org.oatlug/src/org/oatlug/internal/http/Problem.java
@@ -18,15 +18,15 @@
 
   private Problem() {}
 
-  /** Ends the answer with the refusal, if nothing was written yet. */
+  /** Ends the response with the refusal, if it has not ended yet. */
   static void send(HttpServerResponse response, Refusal refusal, String requestId) {
     send(response, refusal, requestId, wait -> Long.toString(seconds(wait)));
   }
 
   /**
-   * Ends the answer with the refusal, if nothing was written yet.
+   * Ends the response with the refusal, if it has not ended yet.
    *
-   * @param retryAfterText how the deployment writes when to come back
+   * @param retryAfterText formats the value of {@code Retry-After}
    */
   public static void send(
       HttpServerResponse response,
@@ -45,7 +45,7 @@
     response.end(Buffer.buffer(body(refusal, requestId).toString()));
   }
 
-  /** Returns the refusal as an event that ends a stream which has begun. */
+  /** Returns the refusal as an error event that ends a stream. */
   static Buffer event(Refusal refusal, String requestId) {
     return Buffer.buffer("event: error\ndata: " + body(refusal, requestId) + "\n\n");
   }
--- a/org.oatlug/src/org/oatlug/internal/http/ServicePlan.java
+++ b/org.oatlug/src/org/oatlug/internal/http/ServicePlan.java
@@ -22,13 +22,13 @@
 import org.oatlug.internal.routing.RoutingDecision.Route;
 
 /**
- * The way of one request to a plain service.
+ * Processing steps of one request to a plain service.
  *
- * <p>Invariant: the outcome of a claimed request is in the ledger, or queued for it, before the
- * caller gets the answer. Used from one event loop.
+ * <p>Invariant: the outcome of a claimed request is recorded in the ledger, or queued for it,
+ * before the response is sent to the caller. Used from one event loop.
  */
 final class ServicePlan implements Plan {
-  private static final int MAXIMUM_KEPT_ANSWER = 32 * 1024;
+  private static final int MAXIMUM_RECORDED_BYTES = 32 * 1024;
   private static final String DEFAULT_TYPE = "application/octet-stream";
 
   private final Services services;
@@ -55,12 +55,12 @@
   }
 
   /**
-   * What the caller asked for.
+   * Target of a request.
    *
-   * @param application the application
+   * @param application the name of the application
    * @param method the HTTP method
-   * @param path the path with its query
-   * @param repeatable whether the route may run more than once
+   * @param path the path including the query
+   * @param repeatable whether a request to the route may run more than once
    */
   record Target(String application, HttpMethod method, String path, boolean repeatable) {}
 
@@ -88,8 +88,9 @@
 
   @Override
   public boolean stillAllowed(Route route) {
-    boolean known = services.tables().catalogue().service(target.application()).isPresent();
-    return known && services.tables().catalogue().workspace(request.workspaceName()).isPresent();
+    boolean serviceExists = services.tables().catalogue().service(target.application()).isPresent();
+    return serviceExists
+        && services.tables().catalogue().workspace(request.workspaceName()).isPresent();
   }
 
   @Override
@@ -112,18 +113,18 @@
   }
 
   @Override
-  public void answered(Route route, HttpClientResponse response, Ending ending) {
-    WholeAnswer.take(
+  public void handleResponse(Route route, HttpClientResponse response, ResponseListener listener) {
+    WholeResponse.receive(
         services.vertx(),
         response,
         services.settings().limits().firstByteMillis(),
         content -> {
-          ending.whole();
+          listener.completed();
           record(response, content)
               .subscribe()
               .with(unused -> send(route, response, content), request::fail);
         },
-        ending::broken);
+        listener::interrupted);
   }
 
   @Override
@@ -146,30 +147,30 @@
     if (claim.isEmpty()) {
       return Uni.createFrom().voidItem();
     }
-    boolean kept = content.length() <= MAXIMUM_KEPT_ANSWER;
+    boolean isRecorded = content.length() <= MAXIMUM_RECORDED_BYTES;
     LedgerEntry.Outcome.Kind kind =
-        kept ? LedgerEntry.Outcome.Kind.ANSWERED : LedgerEntry.Outcome.Kind.ANSWER_NOT_KEPT;
-    String text = kept ? content.toString() : "";
+        isRecorded ? LedgerEntry.Outcome.Kind.ANSWERED : LedgerEntry.Outcome.Kind.ANSWER_NOT_KEPT;
+    String text = isRecorded ? content.toString() : "";
     return services.claims().end(outcome(kind, response.statusCode(), typeOf(response), text));
   }
 
   private LedgerEntry.Outcome outcome(
       LedgerEntry.Outcome.Kind kind, int status, String type, String text) {
-    ClaimDesk.Claim held = claim.orElseThrow();
-    return new LedgerEntry.Outcome(held.key(), held.attempt(), kind, status, type, text);
+    ClaimDesk.Claim claimed = claim.orElseThrow();
+    return new LedgerEntry.Outcome(claimed.key(), claimed.attempt(), kind, status, type, text);
   }
 
   private void send(Route route, HttpClientResponse response, Buffer content) {
     if (request.isEnded()) {
       return;
     }
-    HttpServerResponse answer = request.response();
-    answer.setStatusCode(response.statusCode());
-    answer.putHeader("Content-Type", typeOf(response));
-    answer.putHeader(Headers.REQUEST_ID, request.id());
-    answer.putHeader(Headers.UPSTREAM, route.upstream());
+    HttpServerResponse callerResponse = request.response();
+    callerResponse.setStatusCode(response.statusCode());
+    callerResponse.putHeader("Content-Type", typeOf(response));
+    callerResponse.putHeader(Headers.REQUEST_ID, request.id());
+    callerResponse.putHeader(Headers.UPSTREAM, route.upstream());
     request.finish();
-    answer.end(content);
+    callerResponse.end(content);
   }
 
   private static String typeOf(HttpClientResponse response) {
--- a/org.oatlug/src/org/oatlug/internal/http/Services.java
+++ b/org.oatlug/src/org/oatlug/internal/http/Services.java
@@ -27,29 +27,30 @@
 import org.oatlug.internal.util.PauseWatch;
 
 /**
- * The parts of one instance that requests use. Immutable; its parts belong to one event loop.
+ * Components of one instance that request handling uses. Immutable; the components belong to one
+ * event loop.
  *
- * @param vertx the runtime
+ * @param vertx the Vert.x runtime
  * @param settings the settings
  * @param clock the clock
- * @param tables the tables
- * @param router the decision
+ * @param tables the routing tables
+ * @param router decides the route of a request
  * @param caller sends attempts to upstreams
  * @param claims claims requests that may run at most once
  * @param ledger the ledger
- * @param billing keeps bills
- * @param membership which instances are live
- * @param network the way to them
- * @param configuration brings objects into force
- * @param guard watches roll-outs
- * @param rating rates answers
+ * @param billing stores bills until the ledger has confirmed them
+ * @param membership the instances of the cluster and their state
+ * @param network sends messages to other instances
+ * @param configuration applies configuration objects
+ * @param guard monitors roll-outs
+ * @param rating requests ratings of responses
  * @param sessionKeys the keys that sign sessions
  * @param open the open requests
- * @param limits the rates of workspaces
- * @param line the requests that wait for a place
+ * @param limits the rate limits of workspaces
+ * @param waitQueue the queue of requests that wait for upstream capacity
  * @param retries the retry budget
- * @param pause finds out that the process stood still
- * @param meters the counters
+ * @param pauseDetector detects pauses of the event loop
+ * @param meters the counters and timers
  */
 public record Services(
     Vertx vertx,
@@ -69,12 +70,12 @@
     SessionKeys sessionKeys,
     OpenRequests open,
     WorkspaceLimits limits,
-    WaitingLine line,
+    WaitingLine waitQueue,
     RetryBudget retries,
-    PauseWatch pause,
+    PauseWatch pauseDetector,
     Meters meters) {
 
-  /** Returns the registry of the counters. */
+  /** Returns the metric registry. */
   MetricRegistry registry() {
     return meters.registry();
   }
--- a/org.oatlug/src/org/oatlug/internal/http/package-info.java
+++ b/org.oatlug/src/org/oatlug/internal/http/package-info.java
@@ -1,2 +1,2 @@
-/** The servers that callers and operators talk to. */
+/** HTTP servers for callers and operators. */
 package org.oatlug.internal.http;
