--- a/org.oatlug.test/tst/org/oatlug/internal/log/JsonLinesTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/log/JsonLinesTest.java
@@ -23,7 +23,7 @@
 import org.testng.annotations.Test;
 
 /**
- * Shows that log lines are JSON with the request's id as a field, and that logging never blocks.
+ * Verifies that log lines are JSON with the request id as a field, and that logging never blocks.
  */
 public class JsonLinesTest {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -33,17 +33,17 @@
     LoggerContext context = new LoggerContext();
     new JsonLines().configure(context);
     Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
-    AsyncAppender queue = (AsyncAppender) root.getAppender("queue");
-    assertTrue(queue.isNeverBlock());
-    assertTrue(queue.getQueueSize() > 0);
+    AsyncAppender asyncAppender = (AsyncAppender) root.getAppender("queue");
+    assertTrue(asyncAppender.isNeverBlock());
+    assertTrue(asyncAppender.getQueueSize() > 0);
     ConsoleAppender<ILoggingEvent> console =
-        (ConsoleAppender<ILoggingEvent>) queue.getAppender("console");
+        (ConsoleAppender<ILoggingEvent>) asyncAppender.getAppender("console");
     assertEquals(console.getTarget(), "System.out");
     context.stop();
   }
 
-  /** Returns a list that takes the lines of the logger from now on. */
-  private static ListAppender<ILoggingEvent> linesOf(Logger target) {
+  /** Attaches an appender to the logger that collects its lines. */
+  private static ListAppender<ILoggingEvent> collectLines(Logger target) {
     ListAppender<ILoggingEvent> lines = new ListAppender<>();
     lines.start();
     target.addAppender(lines);
@@ -53,7 +53,7 @@
   @Test
   public void testRequestIdIsFieldOfLine() throws IOException {
     Logger target = (Logger) LoggerFactory.getLogger(JsonLinesTest.class);
-    ListAppender<ILoggingEvent> lines = linesOf(target);
+    ListAppender<ILoggingEvent> lines = collectLines(target);
     IOException cause = new IOException("the cause");
     logger.atWarning().with(LogKeys.REQUEST_ID, "a1").withCause(cause).log("sent=%d \"x\"", 2);
     target.detachAppender(lines);
@@ -69,9 +69,9 @@
   }
 
   @Test
-  public void testLevelBelowTheSetOneIsNotWritten() {
+  public void testLevelBelowMinimumIsNotWritten() {
     Logger target = (Logger) LoggerFactory.getLogger(JsonLinesTest.class);
-    ListAppender<ILoggingEvent> lines = linesOf(target);
+    ListAppender<ILoggingEvent> lines = collectLines(target);
     logger.atFinest().log("left out");
     logger.atInfo().log("written");
     target.detachAppender(lines);
--- a/org.oatlug.test/tst/org/oatlug/internal/log/package-info.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/log/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the form of log lines. */
+/** Tests of the format of log lines. */
 package org.oatlug.internal.log;
--- a/org.oatlug/src/org/oatlug/internal/log/JsonLines.java
+++ b/org.oatlug/src/org/oatlug/internal/log/JsonLines.java
@@ -16,36 +16,38 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sets up the logs of a process: one JSON object a line, on standard output unless the system
- * property {@value #TARGET_PROPERTY} says {@code System.err}.
+ * Configures the logging of a process: one JSON object per line, on standard output unless the
+ * system property {@value #TARGET_PROPERTY} is {@code System.err}.
  *
- * <p>Invariants: a thread that logs never waits for the output; what a full queue cannot take is
- * left out. Set up in code, because reading a set-up file takes a starting instance longer than all
- * other parts of logging. Thread-safe.
+ * <p>Invariants: a thread that logs never blocks on the output; lines that do not fit into the
+ * queue are dropped. Configured in code, because parsing a configuration file at startup takes
+ * longer than the rest of the logging setup. Thread-safe.
  */
 public final class JsonLines extends ContextAwareBase implements Configurator {
-  /** Names the stream that lines go to. */
+  /** System property with the stream to write to. */
   static final String TARGET_PROPERTY = "oatlug.log.target";
 
-  /** Names the lowest level that is written, {@code INFO} if it is not set. */
+  /** System property with the minimum level to write, {@code INFO} if it is not set. */
   private static final String LEVEL_PROPERTY = "oatlug.log.level";
 
   private static final String STANDARD_OUTPUT = "System.out";
 
-  /** Lines that wait to be written: those of some seconds at the bound of lines a second. */
-  private static final int QUEUED_LINES = 1024;
+  /**
+   * Capacity of the queue in lines; holds several seconds of output at the maximum rate of lines.
+   */
+  private static final int QUEUE_CAPACITY = 1024;
 
   /**
-   * How long the end of a process waits for the queue to empty, in milliseconds: less than the 400
-   * that a planned stop keeps of its grace after it has cut what is open.
+   * Maximum time to flush the queue at the end of the process, in milliseconds. It is less than the
+   * 400 ms of the grace period that remain after a planned stop has closed the open requests.
    */
-  private static final int FLUSH_MILLIS = 200;
+  private static final int FLUSH_TIMEOUT_MILLIS = 200;
 
   @Override
   public ExecutionStatus configure(LoggerContext context) {
     Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
     root.setLevel(Level.toLevel(System.getProperty(LEVEL_PROPERTY), Level.INFO));
-    root.addAppender(queueBefore(console(context), context));
+    root.addAppender(asyncQueue(console(context), context));
     return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
   }
 
@@ -68,21 +70,21 @@
     return console;
   }
 
-  private static Appender<ILoggingEvent> queueBefore(
+  private static Appender<ILoggingEvent> asyncQueue(
       Appender<ILoggingEvent> console, LoggerContext context) {
     AsyncAppender queue = new AsyncAppender();
     queue.setContext(context);
     queue.setName("queue");
     queue.setNeverBlock(true);
-    queue.setQueueSize(QUEUED_LINES);
+    queue.setQueueSize(QUEUE_CAPACITY);
     queue.setDiscardingThreshold(0);
-    queue.setMaxFlushTime(FLUSH_MILLIS);
+    queue.setMaxFlushTime(FLUSH_TIMEOUT_MILLIS);
     queue.addAppender(console);
     queue.start();
     return queue;
   }
 
-  /** Writes what waits and ends the logs of the process; for the moment before it ends. */
+  /** Flushes the queue and stops logging; to be called immediately before the process ends. */
   public static void close() {
     if (LoggerFactory.getILoggerFactory() instanceof LoggerContext context) {
       context.stop();
--- a/org.oatlug/src/org/oatlug/internal/log/StructuredLogger.java
+++ b/org.oatlug/src/org/oatlug/internal/log/StructuredLogger.java
@@ -15,10 +15,10 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * Hands log statements to the logging library with their metadata as fields.
+ * Flogger backend that passes log statements to SLF4J with their metadata as key-value fields.
  *
- * <p>What comes with this library writes metadata into the text of the message; here the id of a
- * request stays a field of its own. Immutable, thread-safe.
+ * <p>The SLF4J backend of Flogger appends metadata to the text of the message; here the id of a
+ * request stays a separate field. Immutable, thread-safe.
  */
 final class StructuredLogger extends LoggerBackend {
   private final Logger target;
@@ -27,7 +27,7 @@
     this.target = target;
   }
 
-  /** Makes one for each class that logs; found by its name in the services of the jar. */
+  /** Creates the backend of each class that logs; loaded as a service of the jar. */
   public static final class Factory extends BackendFactory {
     @Override
     public LoggerBackend create(String className) {
@@ -54,19 +54,19 @@
 
   @Override
   public void handleError(RuntimeException error, LogData badData) {
-    target.error("a log statement cannot be formatted", error);
+    target.error("failed to format a log statement", error);
   }
 
   private static void write(LoggingEventBuilder event, Metadata metadata, String message) {
-    LoggingEventBuilder built = event;
+    LoggingEventBuilder builder = event;
     for (int index = 0; index < metadata.size(); index++) {
       if (metadata.getKey(index).equals(LogContext.Key.LOG_CAUSE)) {
-        built = built.setCause((Throwable) metadata.getValue(index));
+        builder = builder.setCause((Throwable) metadata.getValue(index));
       } else {
-        built = built.addKeyValue(metadata.getKey(index).getLabel(), metadata.getValue(index));
+        builder = builder.addKeyValue(metadata.getKey(index).getLabel(), metadata.getValue(index));
       }
     }
-    built.log(message);
+    builder.log(message);
   }
 
   private static org.slf4j.event.Level levelOf(Level level) {
@@ -79,7 +79,7 @@
     if (level.intValue() >= Level.INFO.intValue()) {
       return org.slf4j.event.Level.INFO;
     }
-    boolean fine = level.intValue() >= Level.FINE.intValue();
-    return fine ? org.slf4j.event.Level.DEBUG : org.slf4j.event.Level.TRACE;
+    boolean isFine = level.intValue() >= Level.FINE.intValue();
+    return isFine ? org.slf4j.event.Level.DEBUG : org.slf4j.event.Level.TRACE;
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/log/package-info.java
+++ b/org.oatlug/src/org/oatlug/internal/log/package-info.java
@@ -1,2 +1,2 @@
-/** Writes log lines: JSON objects, one a line, through a bounded queue that never blocks. */
+/** Logging as JSON lines through a bounded queue that never blocks. */
 package org.oatlug.internal.log;
--- a/org.oatlug/src/org/oatlug/internal/metrics/Meters.java
+++ b/org.oatlug/src/org/oatlug/internal/metrics/Meters.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import org.oatlug.api.RefusalReason;
 
-/** The names of the counters and timers, and the way to count. Immutable, thread-safe. */
+/** Records counters and timers in a metric registry. Immutable, thread-safe. */
 public final class Meters {
   private final MetricRegistry registry;
 
@@ -16,7 +16,7 @@
     this.registry = registry;
   }
 
-  /** Returns the meters of a registry; every refusal reason has its counter from the start. */
+  /** Returns the meters of a registry; registers the counters of all refusal reasons. */
   public static Meters of(MetricRegistry registry) {
     Meters meters = new Meters(registry);
     for (RefusalReason reason : RefusalReason.values()) {
@@ -25,22 +25,22 @@
     return meters;
   }
 
-  /** Counts one more of {@code name}. */
+  /** Increments the counter {@code name}. */
   public void count(String name) {
     registry.counter(name).inc();
   }
 
-  /** Counts a refusal. */
+  /** Increments the counter of the refusal reason. */
   public void refused(RefusalReason reason) {
     registry.counter(refusalName(reason)).inc();
   }
 
-  /** Records a duration. */
+  /** Records a duration in the timer {@code name}. */
   public void time(String name, Duration duration) {
     registry.timer(name).update(duration.toNanos(), TimeUnit.NANOSECONDS);
   }
 
-  /** Returns the registry. */
+  /** Returns the metric registry. */
   public MetricRegistry registry() {
     return registry;
   }
--- a/org.oatlug/src/org/oatlug/internal/metrics/package-info.java
+++ b/org.oatlug/src/org/oatlug/internal/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** Counters and timers. */
+/** Counters and timers of an instance. */
 package org.oatlug.internal.metrics;
--- a/org.oatlug/src/org/oatlug/internal/util/Hashes.java
+++ b/org.oatlug/src/org/oatlug/internal/util/Hashes.java
@@ -8,14 +8,14 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Hashes that are the same on every instance. Stateless, thread-safe. */
+/** Hash functions whose results are the same on every instance. Stateless, thread-safe. */
 public final class Hashes {
   private Hashes() {}
 
-  /** A member with its hash, which is worked out once and not at each comparison. */
+  /** Member with its hash, which is computed once instead of at each comparison. */
   private record Ranked(long hash, String member) {}
 
-  /** Returns the SHA-256 of {@code text} in hexadecimal. */
+  /** Returns the SHA-256 of {@code text} as hexadecimal text. */
   public static String sha256(String text) {
     return Hashing.sha256().hashString(text, StandardCharsets.UTF_8).toString();
   }
@@ -27,11 +27,11 @@
   }
 
   /** Returns a 64-bit hash of two numbers. */
-  public static long combine(long one, long other) {
-    return Hashing.murmur3_128().newHasher().putLong(one).putLong(other).hash().asLong();
+  public static long combine(long first, long second) {
+    return Hashing.murmur3_128().newHasher().putLong(first).putLong(second).hash().asLong();
   }
 
-  /** Returns the members by rendezvous rank for {@code subject}, first rank first. */
+  /** Returns the members in rendezvous order for {@code subject}, highest rank first. */
   public static List<String> rendezvous(String subject, List<String> members) {
     return members.stream()
         .map(member -> new Ranked(hash64(subject, member), member))
--- a/org.oatlug/src/org/oatlug/internal/util/Json.java
+++ b/org.oatlug/src/org/oatlug/internal/util/Json.java
@@ -12,9 +12,9 @@
 import java.util.stream.Collectors;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
-/** The object mappers of oatlug. Immutable after creation, thread-safe. */
+/** Object mappers for JSON and MessagePack. Immutable after creation, thread-safe. */
 public final class Json {
-  /** Refuses unknown fields, null for numbers and text after the value. */
+  /** Rejects unknown fields, null for primitives, floats for integers, and trailing tokens. */
   public static final ObjectMapper STRICT =
       JsonMapper.builder()
           .addModule(new Jdk8Module())
@@ -23,14 +23,12 @@
           .disable(DeserializationFeature.ACCEPT_FLOAT_AS_INT)
           .build();
 
-  /**
-   * Reads and writes MessagePack; passes over unknown fields, so that newer peers are understood.
-   */
+  /** Reads and writes MessagePack; ignores unknown fields for compatibility with newer peers. */
   public static final ObjectMapper MESSAGE_PACK = messagePack();
 
   private Json() {}
 
-  /** Returns the path of the field that could not be read, with dots; empty for the whole text. */
+  /** Returns the dotted path of the field that could not be read, empty for the document itself. */
   public static String pathOf(JsonMappingException failure) {
     return failure.getPath().stream()
         .map(JsonMappingException.Reference::getFieldName)
--- a/org.oatlug/src/org/oatlug/internal/util/LogKeys.java
+++ b/org.oatlug/src/org/oatlug/internal/util/LogKeys.java
@@ -5,9 +5,9 @@
 
 import com.google.common.flogger.MetadataKey;
 
-/** The keys of the fields in log lines. Immutable, thread-safe. */
+/** Keys of the fields of log lines. Immutable, thread-safe. */
 public final class LogKeys {
-  /** The id of a caller's request. */
+  /** Id of a caller's request. */
   public static final MetadataKey<String> REQUEST_ID =
       MetadataKey.single("requestId", String.class);
 
--- a/org.oatlug/src/org/oatlug/internal/util/MonotonicClock.java
+++ b/org.oatlug/src/org/oatlug/internal/util/MonotonicClock.java
@@ -12,43 +12,48 @@
 import java.util.function.Supplier;
 
 /**
- * A clock that starts at the system's time, never runs back, and jumps only over the time for which
- * the host was suspended.
+ * Clock that starts at the system time, never runs backwards, and jumps forward only by the time
+ * for which the host was suspended.
  *
- * <p>The steady clock does not count a suspension; what was known before would seem as young after
- * it. So it is compared with the time of day, and when the two part, with the time since boot: the
- * host was suspended if both say so alike, and else the time of day was set. Invariant: it never
- * runs back. Thread-safe.
+ * <p>The monotonic system clock does not advance while the host is suspended, so that data read
+ * before a suspension would seem as fresh after it. It is therefore compared with the time of day
+ * and, when the two diverge, with the time since boot: if both show the same jump, the host was
+ * suspended; otherwise the time of day was set. Invariant: the clock never runs backwards.
+ * Thread-safe.
  */
 public final class MonotonicClock implements InstantSource {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** How often the clocks are compared: a suspension that ended is noticed that late. */
-  private static final long COMPARE_NANOS = Duration.ofMillis(20).toNanos();
+  /**
+   * Interval between comparisons of the clocks; bounds the delay until a suspension is detected.
+   */
+  private static final long COMPARISON_INTERVAL_NANOS = Duration.ofMillis(20).toNanos();
 
-  /** By how much the clocks part before it means something: more than they drift or are read. */
-  private static final Duration PARTED = Duration.ofMillis(300);
+  /** Minimum divergence that counts as a jump; exceeds clock drift and the delay between reads. */
+  private static final Duration DIVERGENCE_THRESHOLD = Duration.ofMillis(300);
 
-  private final LongSupplier steadyNanos;
+  private final LongSupplier monotonicNanos;
   private final InstantSource timeOfDay;
   private final Supplier<Optional<Duration>> sinceBoot;
   private final Instant start;
   private final long startNanos;
-  private volatile long comparedNanos;
+  private volatile long lastComparisonNanos;
   private volatile long suspendedNanos;
-  private Duration dayAhead;
-  private Optional<Duration> bootAhead;
+  private Duration timeOfDayOffset;
+  private Optional<Duration> bootOffset;
 
   private MonotonicClock(
-      LongSupplier steadyNanos, InstantSource timeOfDay, Supplier<Optional<Duration>> sinceBoot) {
-    this.steadyNanos = steadyNanos;
+      LongSupplier monotonicNanos,
+      InstantSource timeOfDay,
+      Supplier<Optional<Duration>> sinceBoot) {
+    this.monotonicNanos = monotonicNanos;
     this.timeOfDay = timeOfDay;
     this.sinceBoot = sinceBoot;
     this.start = timeOfDay.instant();
-    this.startNanos = steadyNanos.getAsLong();
-    this.comparedNanos = startNanos;
-    this.dayAhead = dayAhead(startNanos);
-    this.bootAhead = bootAhead(startNanos);
+    this.startNanos = monotonicNanos.getAsLong();
+    this.lastComparisonNanos = startNanos;
+    this.timeOfDayOffset = timeOfDayOffset(startNanos);
+    this.bootOffset = bootOffset(startNanos);
   }
 
   /** Returns a clock that starts now. */
@@ -57,56 +62,61 @@
   }
 
   /**
-   * Returns a clock over other ones.
+   * Returns a clock that is derived from other clocks.
    *
-   * @param steadyNanos the steady clock, in nanoseconds, which a suspended host does not count
+   * @param monotonicNanos the monotonic clock, in nanoseconds, which stops while the host is
+   *     suspended
    * @param timeOfDay the time of day, which may be set
-   * @param sinceBoot the time since the host was started, suspensions included, if it is known
+   * @param sinceBoot the time since boot including suspensions, empty if unknown
    */
   public static MonotonicClock of(
-      LongSupplier steadyNanos, InstantSource timeOfDay, Supplier<Optional<Duration>> sinceBoot) {
-    return new MonotonicClock(steadyNanos, timeOfDay, sinceBoot);
+      LongSupplier monotonicNanos,
+      InstantSource timeOfDay,
+      Supplier<Optional<Duration>> sinceBoot) {
+    return new MonotonicClock(monotonicNanos, timeOfDay, sinceBoot);
   }
 
   @Override
   public Instant instant() {
-    long nanos = steadyNanos.getAsLong();
-    if (nanos - comparedNanos >= COMPARE_NANOS) {
-      compare(nanos);
+    long nanos = monotonicNanos.getAsLong();
+    if (nanos - lastComparisonNanos >= COMPARISON_INTERVAL_NANOS) {
+      compareClocks(nanos);
     }
     return start.plusNanos(nanos - startNanos + suspendedNanos);
   }
 
-  private Duration dayAhead(long nanos) {
+  private Duration timeOfDayOffset(long nanos) {
     return Duration.between(start, timeOfDay.instant()).minusNanos(nanos - startNanos);
   }
 
-  private Optional<Duration> bootAhead(long nanos) {
+  private Optional<Duration> bootOffset(long nanos) {
     return sinceBoot.get().map(boot -> boot.minusNanos(nanos - startNanos));
   }
 
-  private synchronized void compare(long nanos) {
-    comparedNanos = nanos;
-    Duration ahead = dayAhead(nanos);
-    Duration jump = ahead.minus(dayAhead);
-    if (jump.abs().compareTo(PARTED) < 0) {
+  private synchronized void compareClocks(long nanos) {
+    lastComparisonNanos = nanos;
+    Duration newOffset = timeOfDayOffset(nanos);
+    Duration jump = newOffset.minus(timeOfDayOffset);
+    if (jump.abs().compareTo(DIVERGENCE_THRESHOLD) < 0) {
       return;
     }
-    dayAhead = ahead;
-    Optional<Duration> bootBefore = bootAhead;
-    bootAhead = bootAhead(nanos);
+    timeOfDayOffset = newOffset;
+    Optional<Duration> previousBootOffset = bootOffset;
+    bootOffset = bootOffset(nanos);
     Optional<Duration> suspended =
-        bootAhead.flatMap(boot -> bootBefore.map(boot::minus)).filter(one -> isAlike(one, jump));
+        bootOffset
+            .flatMap(boot -> previousBootOffset.map(boot::minus))
+            .filter(duration -> isConsistent(duration, jump));
     if (suspended.isPresent()) {
       suspendedNanos += suspended.get().toNanos();
-      logger.atWarning().log("the host was suspended for %d millis", suspended.get().toMillis());
+      logger.atWarning().log("the host was suspended for %d ms", suspended.get().toMillis());
     } else {
-      logger.atWarning().log("the time of day was set by %d millis", jump.toMillis());
+      logger.atWarning().log("the time of day was changed by %d ms", jump.toMillis());
     }
   }
 
-  private static boolean isAlike(Duration suspended, Duration jump) {
-    return suspended.compareTo(PARTED.dividedBy(2)) > 0
-        && suspended.minus(jump).abs().compareTo(PARTED) < 0;
+  private static boolean isConsistent(Duration suspended, Duration jump) {
+    return suspended.compareTo(DIVERGENCE_THRESHOLD.dividedBy(2)) > 0
+        && suspended.minus(jump).abs().compareTo(DIVERGENCE_THRESHOLD) < 0;
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/util/TickSystem.java
+++ b/org.oatlug/src/org/oatlug/internal/util/TickSystem.java
@@ -3,10 +3,10 @@
 
 package org.oatlug.internal.util;
 
-/** A system that runs over the tables on each tick of the event loop. */
+/** Component with periodic work on each tick of the event loop. */
 @FunctionalInterface
 public interface TickSystem {
 
-  /** Does what is due; returns at once. */
+  /** Performs the work that is due, without blocking. */
   void tick();
 }
--- a/org.oatlug/src/org/oatlug/internal/util/TlsFiles.java
+++ b/org.oatlug/src/org/oatlug/internal/util/TlsFiles.java
@@ -8,17 +8,17 @@
 import java.util.Optional;
 import org.oatlug.config.Settings;
 
-/** Puts the files of TLS into the options of a server. Stateless, thread-safe. */
+/** Configures the TLS certificate and key files of a server. Stateless, thread-safe. */
 public final class TlsFiles {
   private TlsFiles() {}
 
-  /** Switches TLS on if there are files for it. */
+  /** Enables TLS if certificate and key files are configured. */
   public static void apply(Optional<Settings.Tls> tls, NetServerOptions options) {
     if (tls.isPresent()) {
-      PemKeyCertOptions files = new PemKeyCertOptions();
-      files.addCertPath(tls.get().certificate());
-      files.addKeyPath(tls.get().key());
-      options.setSsl(true).setKeyCertOptions(files);
+      PemKeyCertOptions certificateOptions = new PemKeyCertOptions();
+      certificateOptions.addCertPath(tls.get().certificate());
+      certificateOptions.addKeyPath(tls.get().key());
+      options.setSsl(true).setKeyCertOptions(certificateOptions);
     }
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/util/Unis.java
+++ b/org.oatlug/src/org/oatlug/internal/util/Unis.java
@@ -8,18 +8,18 @@
 import io.vertx.core.Promise;
 import java.util.function.Supplier;
 
-/** Bridges between Vert.x futures and Mutiny. Stateless, thread-safe. */
+/** Conversions between Vert.x futures and Mutiny. Stateless, thread-safe. */
 public final class Unis {
   private Unis() {}
 
-  /** Returns a Uni that starts the future on subscription. */
+  /** Returns a Uni that obtains the future on subscription. */
   public static <T> Uni<T> fromFuture(Supplier<Future<T>> supplier) {
     return Uni.createFrom()
         .emitter(
             emitter -> supplier.get().onComplete(item -> emitter.complete(item), emitter::fail));
   }
 
-  /** Returns a future of the Uni, which is subscribed to at once. */
+  /** Subscribes to the Uni immediately and returns a future of its item. */
   public static <T> Future<T> toFuture(Uni<T> uni) {
     Promise<T> promise = Promise.promise();
     uni.subscribe().with(promise::complete, promise::fail);
--- a/org.oatlug/src/org/oatlug/internal/util/package-info.java
+++ b/org.oatlug/src/org/oatlug/internal/util/package-info.java
@@ -1,2 +1,2 @@
-/** Small helpers without state of their own. */
+/** Clocks, hashing, JSON and other general-purpose utilities. */
 package org.oatlug.internal.util;
