--- a/org.oatlug.test/tst/org/oatlug/test/ShardTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/ShardTest.java
@@ -116,7 +116,7 @@
     Shard shard = writer(platform);
     Bill bill = new Bill("r", "w", "v", 1, 1, 1, true, "process@1", START);
     assertEquals(submit(shard, new LedgerEntry.Billed(bill)), LedgerResult.Kind.RECORDED);
-    assertEquals(submit(shard, new LedgerEntry.Billed(bill)), LedgerResult.Kind.ALREADY);
+    assertEquals(submit(shard, new LedgerEntry.Billed(bill)), LedgerResult.Kind.ALREADY_RECORDED);
     clock.advance(Duration.ofHours(25));
     assertEquals(submit(shard, new LedgerEntry.Billed(bill)), LedgerResult.Kind.EXPIRED);
   }
@@ -143,7 +143,7 @@
     assertTrue(maximumSize <= 80 * 27, "kept " + maximumSize);
     long old = clock.instant().minus(Duration.ofHours(2)).toEpochMilli();
     Bill again = new Bill("58-3", "w", "v", 1, 1, 1, true, "process@1", old);
-    assertEquals(submit(shard, new LedgerEntry.Billed(again)), LedgerResult.Kind.ALREADY);
+    assertEquals(submit(shard, new LedgerEntry.Billed(again)), LedgerResult.Kind.ALREADY_RECORDED);
   }
 
   /** A head that references many segments does not create a new segment at each write. */
@@ -256,9 +256,9 @@
 
     private void billAt(Shard shard) {
       int amount = random.nextInt(100);
-      long bornMillis = START;
+      long createdMillis = START;
       String id = "request-" + random.nextInt(KEYS);
-      Bill bill = new Bill(id, "w", "v", 1, amount, amount, true, "process@1", bornMillis);
+      Bill bill = new Bill(id, "w", "v", 1, amount, amount, true, "process@1", createdMillis);
       LedgerEntry entry = new LedgerEntry.Billed(bill);
       shard.submit(entry).subscribe().with(done -> {}, failure -> {});
     }
--- a/org.oatlug/src/org/oatlug/internal/billing/Bill.java
+++ b/org.oatlug/src/org/oatlug/internal/billing/Bill.java
@@ -3,6 +3,8 @@
 
 package org.oatlug.internal.billing;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
+
 /**
  * Bill of a request to its workspace. Immutable.
  *
@@ -14,7 +16,7 @@
  * @param cost the cost in millionths of the billing unit
  * @param complete whether the response is complete
  * @param process the process that handles the request, as name and epoch
- * @param bornMillis arrival time of the request, in milliseconds since 1970; the same in all
+ * @param createdMillis arrival time of the request, in milliseconds since 1970; the same in all
  *     versions of a bill
  */
 public record Bill(
@@ -26,4 +28,4 @@
     long cost,
     boolean complete,
     String process,
-    long bornMillis) {}
+    @JsonProperty("bornMillis") long createdMillis) {}
--- a/org.oatlug/src/org/oatlug/internal/ledger/BilledIds.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/BilledIds.java
@@ -25,7 +25,7 @@
 
   /** Adds the id of the bill; returns false if it is already present. */
   boolean add(Bill bill) {
-    long hour = Math.floorDiv(bill.bornMillis(), HOUR_MILLIS);
+    long hour = Math.floorDiv(bill.createdMillis(), HOUR_MILLIS);
     LongSet ids = idsByHour.computeIfAbsent(hour, unused -> new LongOpenHashSet());
     return ids.add(Hashes.hash64(bill.id()));
   }
--- a/org.oatlug/src/org/oatlug/internal/ledger/LedgerEntry.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/LedgerEntry.java
@@ -3,6 +3,7 @@
 
 package org.oatlug.internal.ledger;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.annotation.JsonSubTypes;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import org.oatlug.internal.billing.Bill;
@@ -33,9 +34,14 @@
    * @param attempt the attempt id; only the process that created it may run it
    * @param fingerprint a hash of the request
    * @param process the process that makes the claim
-   * @param bornMillis time of the claim, in milliseconds since 1970
+   * @param createdMillis time of the claim, in milliseconds since 1970
    */
-  record Claim(String key, String attempt, String fingerprint, String process, long bornMillis)
+  record Claim(
+      String key,
+      String attempt,
+      String fingerprint,
+      String process,
+      @JsonProperty("bornMillis") long createdMillis)
       implements LedgerEntry {}
 
   /**
--- a/org.oatlug/src/org/oatlug/internal/ledger/LedgerResult.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/LedgerResult.java
@@ -3,6 +3,7 @@
 
 package org.oatlug.internal.ledger;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.Optional;
 
 /**
@@ -36,7 +37,8 @@
     /** The entry is recorded. */
     RECORDED,
     /** An earlier entry for the key or id takes precedence; nothing changed. */
-    ALREADY,
+    @JsonProperty("ALREADY")
+    ALREADY_RECORDED,
     /** The session is bound to a version. */
     BOUND
   }
--- a/org.oatlug/src/org/oatlug/internal/ledger/ShardState.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/ShardState.java
@@ -70,7 +70,7 @@
    */
   void removeExpired(long nowMillis) {
     long limit = nowMillis - retention.toMillis();
-    removeLeading(claims, row -> row.claim().bornMillis() < limit);
+    removeLeading(claims, row -> row.claim().createdMillis() < limit);
     removeLeading(bindings, row -> row.insertedMillis() < limit);
     removeLeading(voided, insertedMillis -> insertedMillis < limit);
     billed.removeBefore(limit);
@@ -118,7 +118,8 @@
     if (holds && row.outcome().isEmpty()) {
       claims.remove(voidEntry.key());
     }
-    LedgerResult.Kind kind = added ? LedgerResult.Kind.RECORDED : LedgerResult.Kind.ALREADY;
+    LedgerResult.Kind kind =
+        added ? LedgerResult.Kind.RECORDED : LedgerResult.Kind.ALREADY_RECORDED;
     return new Applied(added, LedgerResult.of(kind));
   }
 
@@ -126,18 +127,18 @@
     ClaimRow row = claims.get(outcome.key());
     boolean holds = row != null && row.claim().attempt().equals(outcome.attempt());
     if (!holds || row.outcome().isPresent()) {
-      return Applied.unchanged(LedgerResult.of(LedgerResult.Kind.ALREADY));
+      return Applied.unchanged(LedgerResult.of(LedgerResult.Kind.ALREADY_RECORDED));
     }
     claims.put(outcome.key(), new ClaimRow(row.claim(), Optional.of(outcome)));
     return Applied.changed(LedgerResult.Kind.RECORDED);
   }
 
   private Applied addBill(Bill bill, long nowMillis) {
-    if (bill.bornMillis() < nowMillis - retention.toMillis()) {
+    if (bill.createdMillis() < nowMillis - retention.toMillis()) {
       return Applied.unchanged(LedgerResult.of(LedgerResult.Kind.EXPIRED));
     }
     if (!billed.add(bill)) {
-      return Applied.unchanged(LedgerResult.of(LedgerResult.Kind.ALREADY));
+      return Applied.unchanged(LedgerResult.of(LedgerResult.Kind.ALREADY_RECORDED));
     }
     return Applied.changed(LedgerResult.Kind.RECORDED);
   }
@@ -150,6 +151,6 @@
   }
 
   private boolean isExpired(LedgerEntry.Claim claim, long nowMillis) {
-    return claim.bornMillis() < nowMillis - retention.toMillis();
+    return claim.createdMillis() < nowMillis - retention.toMillis();
   }
 }
