--- a/org.oatlug.test/tst/org/oatlug/test/ShardTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/ShardTest.java
@@ -48,8 +48,8 @@
   }
 
   private LedgerEntry.Claim claim(String key, String attempt) {
-    long born = clock.instant().toEpochMilli();
-    return new LedgerEntry.Claim(key, attempt, "fingerprint", "process@1", born);
+    long nowMillis = clock.instant().toEpochMilli();
+    return new LedgerEntry.Claim(key, attempt, "fingerprint", "process@1", nowMillis);
   }
 
   private static LedgerEntry.Outcome outcome(String key, String attempt) {
@@ -130,8 +130,8 @@
     for (int hour = 0; hour < 60; hour++) {
       for (int number = 0; number < 20; number++) {
         String name = hour + "-" + number;
-        long born = clock.instant().toEpochMilli();
-        final Bill bill = new Bill(name, "w", "v", 1, 1, 1, true, "process@1", born);
+        long nowMillis = clock.instant().toEpochMilli();
+        final Bill bill = new Bill(name, "w", "v", 1, 1, 1, true, "process@1", nowMillis);
         submit(shard, claim(name, "attempt-" + name));
         submit(shard, new LedgerEntry.Void("other", "void-" + name));
         submit(shard, new LedgerEntry.Binding("session-" + name, "v1"));
--- a/org.oatlug/src/org/oatlug/internal/ledger/ClaimDesk.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/ClaimDesk.java
@@ -84,9 +84,10 @@
    */
   public Uni<Claim> claim(String key, String fingerprint) {
     String attempt = UUID.randomUUID().toString();
-    long born = clock.instant().toEpochMilli();
+    long createdMillis = clock.instant().toEpochMilli();
     String process = membership.self().process();
-    LedgerEntry.Claim entry = new LedgerEntry.Claim(key, attempt, fingerprint, process, born);
+    LedgerEntry.Claim entry =
+        new LedgerEntry.Claim(key, attempt, fingerprint, process, createdMillis);
     return ledger
         .apply(entry)
         .onFailure()
