--- a/org.oatlug.test/tst/org/oatlug/internal/gather/CrashFleetTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/CrashFleetTest.java
@@ -8,27 +8,27 @@
 
 import java.time.Duration;
 import org.oatlug.internal.crash.RequestFingerprint;
-import org.oatlug.internal.gather.CrashScene.Way;
+import org.oatlug.internal.gather.CrashScene.Policy;
 import org.oatlug.internal.gather.GatherFleet.Instance;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
 /**
- * Requests ended each upstream that ran them, and their callers sent them again at any instance.
- * What one instance saw was known to no other and forgotten with the try, so that 33 upstreams
- * ended under one request; each took all others along that were open there, 3 to 30 of them.
+ * Guards against requests that crash each upstream that runs them and that callers retry at any
+ * instance. Without replicated crash records, 33 upstreams crashed under one request, each with the
+ * 3 to 30 other requests that ran there.
  *
- * <p>Here many instances tell each other in virtual time. What has to hold is that a guilty request
- * reaches upstreams at most three times more once it has ended three and all had the time to hear
- * of it, and that innocent ones, which are open at many ends, go on being served.
+ * <p>Many instances replicate crash records in virtual time. Once a guilty request has crashed
+ * three upstreams and the records are replicated, it must reach upstreams at most three more times;
+ * innocent requests, many of which run during crashes, must still be served.
  */
 public class CrashFleetTest {
   private static final Duration SECOND = Duration.ofSeconds(1);
 
-  /** Within this time everyone who is in touch has to know, by the aim. */
-  private static final Duration IN_TOUCH = Duration.ofSeconds(3);
+  /** The target time within which all reachable instances have the records. */
+  private static final Duration REPLICATED_WITHIN = Duration.ofSeconds(3);
 
-  private static final int MOST_SENT_AFTERWARDS = 3;
+  private static final int MAXIMUM_SENT_AFTERWARDS = 3;
   private static final int SEEDS = 4;
 
   @DataProvider
@@ -36,10 +36,10 @@
     return new Object[][] {{3, 2, 13}, {3, 20, 78}, {5, 19, 37}};
   }
 
-  private static CrashScene play(
-      Way way, int zones, int perZone, int upstreams, int guilty, long seed) {
+  private static CrashScene simulate(
+      Policy policy, int zones, int perZone, int upstreams, int guilty, long seed) {
     GatherFleet fleet = GatherFleet.of(zones, perZone, seed);
-    CrashScene scene = new CrashScene(fleet, way, upstreams, seed);
+    CrashScene scene = new CrashScene(fleet, policy, upstreams, seed);
     fleet.run(SECOND);
     for (int number = 0; number < guilty; number++) {
       scene.sendGuilty("guilty-" + number, Duration.ofMillis(290 + 40L * number), 100);
@@ -53,99 +53,101 @@
   }
 
   @Test(dataProvider = "sizes")
-  public void testGuiltyOnesAreStoppedAndInnocentOnesServed(int zones, int perZone, int upstreams) {
+  public void testGuiltyRequestsAreStoppedAndInnocentOnesServed(
+      int zones, int perZone, int upstreams) {
     int innocent = 0;
     int refused = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      CrashScene scene = play(Way.ALONE, zones, perZone, upstreams, 2, seed);
-      String what = "seed " + seed;
-      assertTrue(scene.guiltySentLate() <= MOST_SENT_AFTERWARDS, what + scene.guiltySentLate());
+      CrashScene scene = simulate(Policy.ISOLATE, zones, perZone, upstreams, 2, seed);
+      String context = "seed " + seed;
+      assertTrue(
+          scene.guiltySentLate() <= MAXIMUM_SENT_AFTERWARDS, context + scene.guiltySentLate());
       innocent += scene.innocent();
       refused += scene.innocentRefused();
     }
     assertTrue(refused * 500 <= innocent, refused + " of " + innocent + " refused");
   }
 
-  /** The ways that were weighed; each end takes along what is open there. */
+  /** Compares the policies; each crash fails all requests that run on the upstream. */
   @Test
-  public void testRunningAloneEndsFewestAndRefusesFewestInnocentOnes() {
-    int[] ended = new int[Way.values().length];
-    int[] refused = new int[Way.values().length];
-    for (Way way : Way.values()) {
+  public void testIsolationCrashesAndRefusesNoMoreThanOtherPolicies() {
+    int[] crashed = new int[Policy.values().length];
+    int[] refused = new int[Policy.values().length];
+    for (Policy policy : Policy.values()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
-        CrashScene scene = play(way, 3, 2, 13, 2, seed);
-        ended[way.ordinal()] += scene.ended();
-        refused[way.ordinal()] += scene.innocentRefused();
+        CrashScene scene = simulate(policy, 3, 2, 13, 2, seed);
+        crashed[policy.ordinal()] += scene.crashed();
+        refused[policy.ordinal()] += scene.innocentRefused();
       }
     }
-    assertTrue(refused[Way.ALONE.ordinal()] <= refused[Way.COUNT.ordinal()]);
-    assertTrue(ended[Way.ALONE.ordinal()] <= ended[Way.CLEARED.ordinal()]);
+    assertTrue(refused[Policy.ISOLATE.ordinal()] <= refused[Policy.COUNT.ordinal()]);
+    assertTrue(crashed[Policy.ISOLATE.ordinal()] <= crashed[Policy.CLEARED.ordinal()]);
   }
 
   @Test(dataProvider = "sizes")
-  public void testUpstreamsThatEndTogetherAccuseNobody(int zones, int perZone, int upstreams) {
+  public void testSimultaneousCrashesRefuseNoRequest(int zones, int perZone, int upstreams) {
     GatherFleet fleet = GatherFleet.of(zones, perZone, 7);
-    CrashScene scene = new CrashScene(fleet, Way.ALONE, upstreams, 7);
+    CrashScene scene = new CrashScene(fleet, Policy.ISOLATE, upstreams, 7);
     fleet.run(SECOND);
     scene.sendOften("often", Duration.ofMillis(5), 4000);
     for (int round = 1; round <= 4; round++) {
-      fleet.after(SECOND.multipliedBy(4L * round), () -> scene.endSome(upstreams / 2));
+      fleet.after(SECOND.multipliedBy(4L * round), () -> scene.crashSome(upstreams / 2));
     }
     fleet.run(SECOND.multipliedBy(25));
     assertEquals(scene.innocentRefused(), 0);
   }
 
   @Test(dataProvider = "sizes")
-  public void testAllKnowInTimeWhoeverSawIt(int zones, int perZone, int upstreams) {
+  public void testCrashRecordsReachAllInstancesInTime(int zones, int perZone, int upstreams) {
     GatherFleet fleet = GatherFleet.of(zones, perZone, 3);
     fleet.run(SECOND);
     String guilty = RequestFingerprint.of("host", "/", "", new byte[0]);
-    see(fleet, guilty, 0, "i-1");
-    see(fleet, guilty, perZone, "i-2");
-    see(fleet, guilty, zones * perZone - 1, "i-3");
-    fleet.run(IN_TOUCH);
-    assertKnown(fleet, guilty);
+    recordCrash(fleet, guilty, 0, "i-1");
+    recordCrash(fleet, guilty, perZone, "i-2");
+    recordCrash(fleet, guilty, zones * perZone - 1, "i-3");
+    fleet.run(REPLICATED_WITHIN);
+    assertReplicated(fleet, guilty);
   }
 
   @Test(dataProvider = "sizes")
-  public void testWhatWasToldIsNotLostWithTheOneThatWasTold(int zones, int perZone, int upstreams) {
+  public void testCrashRecordsSurviveTheLossOfCollectors(int zones, int perZone, int upstreams) {
     GatherFleet fleet = GatherFleet.of(zones, perZone, 4);
     fleet.run(SECOND);
     String guilty = RequestFingerprint.of("host", "/", "", new byte[0]);
     for (int number = 1; number <= 3; number++) {
-      see(fleet, guilty, number % 2, "i-" + number);
+      recordCrash(fleet, guilty, number % 2, "i-" + number);
       fleet.run(Duration.ofMillis(100));
     }
     for (int zone = 0; zone < zones; zone++) {
-      fleet.silence(fleet.collectorOf("zone-" + zone).name());
+      fleet.stop(fleet.collectorOf("zone-" + zone).name());
     }
-    fleet.run(IN_TOUCH);
-    assertKnown(fleet, guilty);
+    fleet.run(REPLICATED_WITHIN);
+    assertReplicated(fleet, guilty);
   }
 
   @Test(dataProvider = "sizes")
-  public void testLittleIsToldOnceAllKnow(int zones, int perZone, int upstreams) {
+  public void testFewMessagesOnceCrashRecordsAreReplicated(int zones, int perZone, int upstreams) {
     GatherFleet fleet = GatherFleet.of(zones, perZone, 5);
     fleet.run(SECOND);
     String guilty = RequestFingerprint.of("host", "/", "", new byte[0]);
-    see(fleet, guilty, 0, "i-1");
-    see(fleet, guilty, 1, "i-2");
-    fleet.run(IN_TOUCH);
+    recordCrash(fleet, guilty, 0, "i-1");
+    recordCrash(fleet, guilty, 1, "i-2");
+    fleet.run(REPLICATED_WITHIN);
     int before = fleet.messages();
     fleet.run(SECOND.multipliedBy(10));
-    assertTrue(fleet.messages() - before <= 10 * zones * perZone, "one a second");
+    assertTrue(fleet.messages() - before <= 10 * zones * perZone, "one per second");
   }
 
-  private static void see(GatherFleet fleet, String guilty, int instance, String process) {
-    Instance seer = fleet.instances().get(instance);
+  private static void recordCrash(GatherFleet fleet, String guilty, int instance, String process) {
+    Instance observer = fleet.instances().get(instance);
     var now = fleet.clock().instant();
-    seer.ledger.upstreamEnded(guilty, "", process, now.minusMillis(20), now);
+    observer.ledger.upstreamEnded(guilty, "", process, now.minusMillis(20), now);
     fleet.run(Duration.ofMillis(30));
   }
 
-  private static void assertKnown(GatherFleet fleet, String guilty) {
+  private static void assertReplicated(GatherFleet fleet, String guilty) {
     for (Instance instance : fleet.instances()) {
-      if (!fleet.isSilent(instance.name())) {
+      if (!fleet.isStopped(instance.name())) {
         assertEquals(instance.ledger.ended(guilty).size(), 3, instance.name());
       }
     }
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/CrashScene.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/CrashScene.java
@@ -22,41 +22,42 @@
 import org.oatlug.internal.gather.GatherFleet.Instance;
 
 /**
- * A fleet in virtual time whose upstreams end under some requests, beside many that are innocent: a
- * few that come all the time, and long ones that come once. Used from one thread.
+ * Simulates in virtual time a fleet whose upstreams crash under some requests while they serve
+ * innocent ones: a few that repeat at a steady rate, and long ones that are sent once. Used from
+ * request thread.
  */
 final class CrashScene {
-  private static final int MOST_ATTEMPTS = 3;
-  private static final Duration DOWN = Duration.ofMillis(2500);
-  private static final Duration COMES_BACK = Duration.ofMillis(250);
+  private static final int MAXIMUM_ATTEMPTS = 3;
+  private static final Duration RESTART_TIME = Duration.ofMillis(2500);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
-  /** How a request is judged. */
-  enum Way {
-    /** Three starts of upstreams ended under it. */
+  /** The policy that decides on a request. */
+  enum Policy {
+    /** Refuses a request after three upstream processes crashed under it. */
     COUNT,
-    /** The same, in turn, and none of its runs ended well since. */
+    /** Like COUNT, but only successive crashes without a completed run since. */
     CLEARED,
-    /** The same, and a request under which two ended runs alone. */
-    ALONE
+    /** Like CLEARED, and isolates a request after two crashes. */
+    ISOLATE
   }
 
   private final GatherFleet fleet;
-  private final Way way;
+  private final Policy policy;
   private final Random random;
   private final List<Upstream> upstreams = new ArrayList<>();
-  private final Map<String, Set<String>> open = new HashMap<>();
-  private final Map<String, Integer> endedUnder = new HashMap<>();
-  private final Map<String, Instant> thirdAt = new HashMap<>();
-  private int ended;
+  private final Map<String, Set<String>> isolatedFingerprints = new HashMap<>();
+  private final Map<String, Integer> crashesByRequest = new HashMap<>();
+  private final Map<String, Instant> thirdCrashAt = new HashMap<>();
+  private int crashed;
   private int guiltySentLate;
   private int innocent;
   private int innocentRefused;
   private int innocentServed;
-  private long made;
+  private long longRequests;
 
-  CrashScene(GatherFleet fleet, Way way, int upstreamCount, long seed) {
+  CrashScene(GatherFleet fleet, Policy policy, int upstreamCount, long seed) {
     this.fleet = fleet;
-    this.way = way;
+    this.policy = policy;
     this.random = new Random(seed);
     for (int number = 0; number < upstreamCount; number++) {
       upstreams.add(new Upstream("i-" + number));
@@ -78,31 +79,31 @@
     }
   }
 
-  /** One try of a caller. */
-  private static final class Try {
+  /** One request of a caller, which the instance may attempt several times. */
+  private static final class CallerRequest {
     final String fingerprint;
-    final Optional<Duration> endsUpstreamAfter;
+    final Optional<Duration> crashesUpstreamAfter;
     final Duration work;
     final Instance instance;
-    final int triesLeft;
+    final int callerRetriesLeft;
     int attempts;
-    Set<String> tried = new HashSet<>();
+    Set<String> triedUpstreams = new HashSet<>();
 
-    Try(
+    CallerRequest(
         String fingerprint,
-        Optional<Duration> endsUpstreamAfter,
+        Optional<Duration> crashesUpstreamAfter,
         Duration work,
         Instance instance,
-        int triesLeft) {
+        int callerRetriesLeft) {
       this.fingerprint = fingerprint;
-      this.endsUpstreamAfter = endsUpstreamAfter;
+      this.crashesUpstreamAfter = crashesUpstreamAfter;
       this.work = work;
       this.instance = instance;
-      this.triesLeft = triesLeft;
+      this.callerRetriesLeft = callerRetriesLeft;
     }
   }
 
-  private record Run(Try of, Instant began, boolean alone) {}
+  private record Run(CallerRequest request, Instant began, boolean isolated) {}
 
   private Instant now() {
     return fleet.clock().instant();
@@ -113,206 +114,233 @@
     return all.get(random.nextInt(all.size()));
   }
 
-  private Duration millis(int least, int most) {
-    return Duration.ofMillis(least + random.nextInt(most - least));
+  private Duration millis(int minimum, int maximum) {
+    return Duration.ofMillis(minimum + random.nextInt(maximum - minimum));
   }
 
-  /** Sends a request under which upstreams end, again and again for a while. */
+  /** Sends a request repeatedly that crashes its upstreams. */
   void sendGuilty(String name, Duration pause, int times) {
     String fingerprint = RequestFingerprint.of("host", "/guilty", name, new byte[0]);
     for (int round = 0; round < times; round++) {
       fleet.after(
           pause.multipliedBy(round),
           () -> {
-            Optional<Duration> ends = Optional.of(millis(50, 200));
-            begin(new Try(fingerprint, ends, Duration.ofSeconds(10), anyInstance(), 1));
+            Optional<Duration> crashAfter = Optional.of(millis(50, 200));
+            begin(
+                new CallerRequest(
+                    fingerprint, crashAfter, Duration.ofSeconds(10), anyInstance(), 1));
           });
     }
   }
 
-  /** Sends the same request all the time, which is innocent. */
+  /** Sends the same innocent request repeatedly. */
   void sendOften(String name, Duration pause, int times) {
     String fingerprint = RequestFingerprint.of("host", "/often", name, new byte[0]);
     sendInnocent(pause, times, () -> fingerprint, 20, 90);
   }
 
-  /** Sends long requests, each of which comes once and is innocent. */
+  /** Sends distinct long innocent requests. */
   void sendLong(Duration pause, int times) {
     sendInnocent(
         pause,
         times,
         () ->
             RequestFingerprint.of(
-                "host", "/long", "own", Long.toString(made++).getBytes(StandardCharsets.UTF_8)),
+                "host",
+                "/long",
+                "own",
+                Long.toString(longRequests++).getBytes(StandardCharsets.UTF_8)),
         500,
         3000);
   }
 
-  private void sendInnocent(Duration pause, int times, Supplier<String> name, int least, int most) {
+  private void sendInnocent(
+      Duration pause, int times, Supplier<String> fingerprint, int minimum, int maximum) {
     for (int round = 0; round < times; round++) {
       fleet.after(
           pause.multipliedBy(round),
           () -> {
             innocent++;
-            begin(new Try(name.get(), Optional.empty(), millis(least, most), anyInstance(), 1));
+            begin(
+                new CallerRequest(
+                    fingerprint.get(),
+                    Optional.empty(),
+                    millis(minimum, maximum),
+                    anyInstance(),
+                    1));
           });
     }
   }
 
-  private Verdict verdict(Try one) {
-    if (way == Way.COUNT) {
-      int count = one.instance.ledger.ended(one.fingerprint).size();
+  private Verdict verdict(CallerRequest request) {
+    if (policy == Policy.COUNT) {
+      int count = request.instance.ledger.ended(request.fingerprint).size();
       return count >= 3 ? Verdict.REFUSED : Verdict.CLEAR;
     }
-    Verdict verdict = one.instance.ledger.verdict(one.fingerprint);
-    return way == Way.CLEARED && verdict == Verdict.SUSPECT ? Verdict.CLEAR : verdict;
+    Verdict verdict = request.instance.ledger.verdict(request.fingerprint);
+    return policy == Policy.CLEARED && verdict == Verdict.SUSPECT ? Verdict.CLEAR : verdict;
   }
 
-  private void begin(Try one) {
-    Verdict verdict = verdict(one);
-    boolean busy = verdict == Verdict.SUSPECT && openAt(one.instance).contains(one.fingerprint);
-    if (verdict == Verdict.REFUSED || busy) {
-      refused(one, verdict);
+  private void begin(CallerRequest request) {
+    Verdict verdict = verdict(request);
+    boolean alreadyIsolated =
+        verdict == Verdict.SUSPECT && isolatedAt(request.instance).contains(request.fingerprint);
+    if (verdict == Verdict.REFUSED || alreadyIsolated) {
+      refuse(request, verdict);
       return;
     }
-    attempt(one, verdict == Verdict.SUSPECT);
+    attempt(request, verdict == Verdict.SUSPECT);
   }
 
-  private Set<String> openAt(Instance instance) {
-    return open.computeIfAbsent(instance.name(), unused -> new HashSet<>());
+  private Set<String> isolatedAt(Instance instance) {
+    return isolatedFingerprints.computeIfAbsent(instance.name(), unused -> new HashSet<>());
   }
 
-  private void refused(Try one, Verdict verdict) {
-    if (one.endsUpstreamAfter.isPresent()) {
+  private void refuse(CallerRequest request, Verdict verdict) {
+    if (request.crashesUpstreamAfter.isPresent()) {
       return;
     }
     if (verdict == Verdict.REFUSED) {
       innocentRefused++;
     } else {
-      comeBack(one);
+      retryLater(request);
     }
   }
 
-  private void comeBack(Try one) {
-    if (one.triesLeft > 0) {
+  private void retryLater(CallerRequest request) {
+    if (request.callerRetriesLeft > 0) {
       Instance next = anyInstance();
-      int left = one.triesLeft - 1;
+      int retriesLeft = request.callerRetriesLeft - 1;
       fleet.after(
-          COMES_BACK,
-          () -> begin(new Try(one.fingerprint, one.endsUpstreamAfter, one.work, next, left)));
+          RETRY_DELAY,
+          () ->
+              begin(
+                  new CallerRequest(
+                      request.fingerprint,
+                      request.crashesUpstreamAfter,
+                      request.work,
+                      next,
+                      retriesLeft)));
     }
   }
 
-  private void attempt(Try one, boolean alone) {
-    Optional<Upstream> chosen = choose(one, alone);
+  private void attempt(CallerRequest request, boolean isolated) {
+    Optional<Upstream> chosen = choose(request, isolated);
     if (chosen.isEmpty()) {
-      comeBack(one);
+      retryLater(request);
       return;
     }
-    one.attempts++;
-    one.tried.add(chosen.get().name);
-    noteSent(one);
+    request.attempts++;
+    request.triedUpstreams.add(chosen.get().name);
+    countLateSend(request);
     Upstream upstream = chosen.get();
-    Run run = new Run(one, now(), alone);
+    Run run = new Run(request, now(), isolated);
     upstream.runs.add(run);
-    if (alone) {
-      openAt(one.instance).add(one.fingerprint);
+    if (isolated) {
+      isolatedAt(request.instance).add(request.fingerprint);
     }
     int start = upstream.start;
-    Duration ends = one.endsUpstreamAfter.orElse(one.work);
-    fleet.after(ends, () -> finish(upstream, start, run));
+    Duration runsFor = request.crashesUpstreamAfter.orElse(request.work);
+    fleet.after(runsFor, () -> finish(upstream, start, run));
   }
 
-  private void noteSent(Try one) {
+  private void countLateSend(CallerRequest request) {
     boolean late =
-        Optional.ofNullable(thirdAt.get(one.fingerprint))
-            .map(third -> now().isAfter(third.plusSeconds(3)))
+        Optional.ofNullable(thirdCrashAt.get(request.fingerprint))
+            .map(thirdCrash -> now().isAfter(thirdCrash.plusSeconds(3)))
             .orElse(false);
-    if (late && one.endsUpstreamAfter.isPresent()) {
+    if (late && request.crashesUpstreamAfter.isPresent()) {
       guiltySentLate++;
     }
   }
 
-  private Optional<Upstream> choose(Try one, boolean alone) {
+  private Optional<Upstream> choose(CallerRequest request, boolean isolated) {
     Comparator<Upstream> order =
-        alone
-            ? Comparator.comparingInt(upstream -> openOf(one.instance, upstream))
-            : Comparator.comparingInt(upstream -> setApart(one.instance, upstream));
+        isolated
+            ? Comparator.comparingInt(upstream -> openRuns(request.instance, upstream))
+            : Comparator.comparingInt(upstream -> isolatedRuns(request.instance, upstream));
     List<Upstream> shuffled = new ArrayList<>(upstreams);
     Collections.shuffle(shuffled, random);
     return shuffled.stream()
-        .filter(upstream -> !upstream.down && !one.tried.contains(upstream.name))
+        .filter(upstream -> !upstream.down && !request.triedUpstreams.contains(upstream.name))
         .min(order);
   }
 
-  private int openOf(Instance instance, Upstream upstream) {
-    return (int) upstream.runs.stream().filter(run -> run.of().instance == instance).count();
+  private int openRuns(Instance instance, Upstream upstream) {
+    return (int) upstream.runs.stream().filter(run -> run.request().instance == instance).count();
   }
 
-  private int setApart(Instance instance, Upstream upstream) {
+  private int isolatedRuns(Instance instance, Upstream upstream) {
     return (int)
-        upstream.runs.stream().filter(run -> run.alone() && run.of().instance == instance).count();
+        upstream.runs.stream()
+            .filter(run -> run.isolated() && run.request().instance == instance)
+            .count();
   }
 
   private void finish(Upstream upstream, int start, Run run) {
     if (upstream.start != start || !upstream.runs.contains(run)) {
       return;
     }
-    if (run.of().endsUpstreamAfter.isPresent()) {
+    if (run.request().crashesUpstreamAfter.isPresent()) {
       crash(upstream, run);
       return;
     }
     upstream.runs.remove(run);
-    openAt(run.of().instance).remove(run.of().fingerprint);
+    isolatedAt(run.request().instance).remove(run.request().fingerprint);
     innocentServed++;
-    if (way != Way.COUNT && !run.of().instance.ledger.isEmpty()) {
-      run.of().instance.ledger.endedWell(run.of().fingerprint);
+    if (policy != Policy.COUNT && !run.request().instance.ledger.isEmpty()) {
+      run.request().instance.ledger.endedWell(run.request().fingerprint);
     }
   }
 
-  private void crash(Upstream upstream, Run under) {
-    ended++;
-    if (endedUnder.merge(under.of().fingerprint, 1, Integer::sum) == 3) {
-      thirdAt.put(under.of().fingerprint, now());
+  private void crash(Upstream upstream, Run run) {
+    crashed++;
+    if (crashesByRequest.merge(run.request().fingerprint, 1, Integer::sum) == 3) {
+      thirdCrashAt.put(run.request().fingerprint, now());
     }
-    end(upstream);
+    restart(upstream);
   }
 
-  /** Ends a start of an upstream; it comes back as another one. */
-  private void end(Upstream upstream) {
-    final List<Run> broken = List.copyOf(upstream.runs);
+  /** Stops a process of an upstream, which restarts as a new process. */
+  private void restart(Upstream upstream) {
+    final List<Run> failed = List.copyOf(upstream.runs);
     final String process = upstream.process();
     upstream.runs.clear();
     upstream.start++;
     upstream.down = true;
-    fleet.after(DOWN, () -> upstream.down = false);
-    broken.forEach(run -> broke(run, process));
+    fleet.after(RESTART_TIME, () -> upstream.down = false);
+    failed.forEach(run -> runFailed(run, process));
   }
 
-  private void broke(Run run, String process) {
-    Try one = run.of();
-    openAt(one.instance).remove(one.fingerprint);
-    boolean stops =
-        way == Way.ALONE && one.instance.ledger.isSuspectAfter(one.fingerprint, process);
-    one.instance.ledger.upstreamEnded(one.fingerprint, "", process, run.began(), now());
-    if (stops || one.attempts >= MOST_ATTEMPTS) {
-      comeBack(one);
+  private void runFailed(Run run, String process) {
+    CallerRequest request = run.request();
+    isolatedAt(request.instance).remove(request.fingerprint);
+    boolean isSuspect =
+        policy == Policy.ISOLATE
+            && request.instance.ledger.isSuspectAfter(request.fingerprint, process);
+    request.instance.ledger.upstreamEnded(request.fingerprint, "", process, run.began(), now());
+    if (isSuspect || request.attempts >= MAXIMUM_ATTEMPTS) {
+      retryLater(request);
     } else {
-      fleet.after(Duration.ofMillis(1), () -> begin(one));
+      fleet.after(Duration.ofMillis(1), () -> begin(request));
     }
   }
 
-  /** Ends some upstreams at once, for a reason of their own. */
-  void endSome(int count) {
-    upstreams.stream().limit(count).filter(upstream -> !upstream.down).toList().forEach(this::end);
+  /** Crashes some upstreams at once, independent of their requests. */
+  void crashSome(int count) {
+    upstreams.stream()
+        .limit(count)
+        .filter(upstream -> !upstream.down)
+        .toList()
+        .forEach(this::restart);
   }
 
-  /** Returns how many upstreams ended under requests. */
-  int ended() {
-    return ended;
+  /** Returns the number of upstream processes that crashed under requests. */
+  int crashed() {
+    return crashed;
   }
 
-  /** Returns how often guilty requests were sent three seconds after they had ended three. */
+  /** Returns the number of guilty requests sent over three seconds after their third crash. */
   int guiltySentLate() {
     return guiltySentLate;
   }
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/GatherFleet.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/GatherFleet.java
@@ -28,22 +28,22 @@
 import org.oatlug.test.VirtualTime;
 
 /**
- * Instances of some availability zones that gather what they know, in virtual time.
+ * Simulates in virtual time the state exchange of instances in several availability zones.
  *
- * <p>Everyone knows all members from the start; a message takes some milliseconds, drawn from the
- * seed. Instances may be silent, and zones cut off from each other. Used from one thread.
+ * <p>All members are known from the start; the latency of a message is a few milliseconds, drawn
+ * from the seed. Instances may be stopped, and zones partitioned. Used from one thread.
  */
 final class GatherFleet {
   static final String SERVICE = "pool";
   static final String VERSION = "v2";
   private static final Duration TICK = Duration.ofMillis(100);
-  private static final int MOST_DELAY_MILLIS = 6;
+  private static final int MAXIMUM_DELAY_MILLIS = 6;
 
   private final Random random;
   private final VirtualTime time = new VirtualTime();
   private final Map<String, Instance> instances = new TreeMap<>();
-  private final Set<String> silent = new HashSet<>();
-  private final Set<String> cutZones = new HashSet<>();
+  private final Set<String> stopped = new HashSet<>();
+  private final Set<String> partitionedZones = new HashSet<>();
   private int messages;
   private int messagesBetweenZones;
 
@@ -51,16 +51,16 @@
     random = new Random(seed);
   }
 
-  /** One instance: what it sees, and what it was told last of all others. */
+  /** One instance, with its own observations and the last aggregate of all others. */
   final class Instance implements Participant {
     final Membership membership;
     final GatherSystem system;
     final CrashLedger ledger = CrashLedger.create(time);
     final AdvertisedLimits limits = AdvertisedLimits.create(time);
     final Map<String, Integer> open = new TreeMap<>();
-    final List<SeenSession> kept = new ArrayList<>();
-    private final List<SeenSession> seen = new ArrayList<>();
-    final Set<Long> sessionsHeard = new HashSet<>();
+    final List<SeenSession> unsent = new ArrayList<>();
+    private final List<SeenSession> reported = new ArrayList<>();
+    final Set<Long> receivedSessions = new HashSet<>();
     long worse;
     boolean refuted;
     Account others = Account.EMPTY;
@@ -77,13 +77,13 @@
     }
 
     private void tick() {
-      if (!silent.contains(name())) {
+      if (!stopped.contains(name())) {
         system.tick();
       }
       after(TICK, this::tick);
     }
 
-    private Uni<PeerMessage> ask(Member peer, PeerMessage message, Duration patience) {
+    private Uni<PeerMessage> ask(Member peer, PeerMessage message, Duration timeout) {
       Instance target = instances.get(peer.name());
       messages++;
       if (!peer.zone().equals(membership.self().zone())) {
@@ -92,13 +92,13 @@
       return Uni.createFrom()
           .emitter(
               emitter -> {
-                after(patience, () -> emitter.fail(new PeerUnavailableException(peer.name())));
+                after(timeout, () -> emitter.fail(new PeerUnavailableException(peer.name())));
                 if (reaches(target)) {
                   after(
                       delay(),
                       () -> {
-                        PeerMessage answer = target.system.handle(membership.self(), message);
-                        after(delay(), () -> emitter.complete(answer));
+                        PeerMessage response = target.system.handle(membership.self(), message);
+                        after(delay(), () -> emitter.complete(response));
                       });
                 }
               });
@@ -106,9 +106,11 @@
 
     private boolean reaches(Instance target) {
       String own = membership.self().zone();
-      String other = target.membership.self().zone();
-      boolean cut = !own.equals(other) && (cutZones.contains(own) || cutZones.contains(other));
-      return !cut && !silent.contains(name()) && !silent.contains(target.name());
+      String targetZone = target.membership.self().zone();
+      boolean partitioned =
+          !own.equals(targetZone)
+              && (partitionedZones.contains(own) || partitionedZones.contains(targetZone));
+      return !partitioned && !stopped.contains(name()) && !stopped.contains(target.name());
     }
 
     @Override
@@ -118,47 +120,47 @@
       VersionEvidence evidence =
           new VersionEvidence(
               SERVICE, VERSION, StoreRevision.ofNumber(1), pairs, worse, refuted, 0);
-      List<VersionEvidence> seen = worse > 0 || refuted ? List.of(evidence) : List.of();
-      return new Account(Map.copyOf(open), seen, Map.of(), limits.observed());
+      List<VersionEvidence> entries = worse > 0 || refuted ? List.of(evidence) : List.of();
+      return new Account(Map.copyOf(open), entries, Map.of(), limits.observed());
     }
 
     @Override
     public List<SeenSession> newlySeen() {
-      List<SeenSession> taken = List.copyOf(kept);
-      kept.clear();
-      seen.addAll(taken);
-      return taken;
+      List<SeenSession> sessions = List.copyOf(unsent);
+      unsent.clear();
+      reported.addAll(sessions);
+      return sessions;
     }
 
     @Override
     public List<SeenSession> seenHere() {
-      return List.copyOf(seen);
+      return List.copyOf(reported);
     }
 
     @Override
     public List<SeenSession> allSeen() {
-      return List.copyOf(seen);
+      return List.copyOf(reported);
     }
 
     @Override
-    public void heard(Account account) {
-      others = account;
-      limits.applyReported(account.limits());
-      refuted |= account.refuted() > 0;
+    public void heard(Account report) {
+      others = report;
+      limits.applyReported(report.limits());
+      refuted |= report.refuted() > 0;
     }
 
     @Override
     public void heardSessions(List<SeenSession> sessions) {
-      sessions.forEach(one -> sessionsHeard.add(one.session()));
+      sessions.forEach(session -> receivedSessions.add(session.session()));
     }
 
-    /** Returns the pairs against the version that this instance knows of, its own included. */
+    /** Returns the worse pairs of the version over all instances, as known to this one. */
     long allWorse() {
       return own().worsePairs() + others.worsePairs();
     }
   }
 
-  /** Starts instances that know each other. */
+  /** Starts instances with complete membership. */
   static GatherFleet of(int zones, int instancesPerZone, long seed) {
     GatherFleet fleet = new GatherFleet(seed);
     List<Member> members = new ArrayList<>();
@@ -179,12 +181,12 @@
   }
 
   private Duration delay() {
-    return Duration.ofMillis(1 + random.nextInt(MOST_DELAY_MILLIS));
+    return Duration.ofMillis(1 + random.nextInt(MAXIMUM_DELAY_MILLIS));
   }
 
-  /** Plans an action. */
-  void after(Duration wait, Runnable action) {
-    time.after(wait, action);
+  /** Schedules an action. */
+  void after(Duration delay, Runnable action) {
+    time.after(delay, action);
   }
 
   /** Returns the clock of all instances. */
@@ -192,7 +194,7 @@
     return time;
   }
 
-  /** Lets the time pass. */
+  /** Advances the virtual time. */
   void run(Duration duration) {
     time.run(duration);
   }
@@ -202,11 +204,11 @@
     return List.copyOf(instances.values());
   }
 
-  /** Returns the instance that its zone tells, as those of the zone see it. */
+  /** Returns the collector of a zone, as the instances of the zone select it. */
   Instance collectorOf(String zone) {
     Instance any =
         instances.values().stream()
-            .filter(one -> one.membership.self().zone().equals(zone))
+            .filter(instance -> instance.membership.self().zone().equals(zone))
             .findFirst()
             .orElseThrow();
     return ZoneCollectors.of(any.membership, time)
@@ -215,36 +217,36 @@
         .orElse(any);
   }
 
-  /** Stops instances; nobody is told. */
-  void silence(String name) {
-    silent.add(name);
+  /** Stops an instance without a change of the membership. */
+  void stop(String name) {
+    stopped.add(name);
   }
 
   /** Returns whether an instance is stopped. */
-  boolean isSilent(String name) {
-    return silent.contains(name);
+  boolean isStopped(String name) {
+    return stopped.contains(name);
   }
 
-  /** Lets a stopped instance go on, with what it knew. */
-  void wake(String name) {
-    silent.remove(name);
+  /** Resumes a stopped instance with its former state. */
+  void resume(String name) {
+    stopped.remove(name);
   }
 
-  /** Cuts a zone off from the others, or heals it. */
-  void cut(String zone, boolean isCut) {
-    if (isCut) {
-      cutZones.add(zone);
+  /** Partitions a zone from the others, or ends the partition. */
+  void partition(String zone, boolean partitioned) {
+    if (partitioned) {
+      partitionedZones.add(zone);
     } else {
-      cutZones.remove(zone);
+      partitionedZones.remove(zone);
     }
   }
 
-  /** Returns how many messages were sent, answers not counted. */
+  /** Returns the number of requests sent; responses are not counted. */
   int messages() {
     return messages;
   }
 
-  /** Returns how many of them went to another zone. */
+  /** Returns the number of requests sent to another zone. */
   int messagesBetweenZones() {
     return messagesBetweenZones;
   }
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/GatherSystemTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/GatherSystemTest.java
@@ -22,20 +22,23 @@
 import org.testng.annotations.Test;
 
 /**
- * What instances learn of each other through collectors, how soon, and with how many messages.
+ * Verifies the state exchange through collectors: content, delay and number of messages, in virtual
+ * time.
  *
- * <p>Before, each told each other: with 95 instances 35,720 messages a second while a version was
- * brought in (worked out from an interval of 250 ms), and nothing about open prompts. Virtual time.
+ * <p>Direct exchange between 95 instances at an interval of 250 ms would take 35,720 messages per
+ * second during a roll-out.
  */
 public class GatherSystemTest {
   private static final Duration SECOND = Duration.ofSeconds(1);
   private static final int SECONDS = 10;
 
-  /** With this pause a prompt that waits for a second is known to all before it is read. */
+  /**
+   * The delay at which all instances know a prompt that is pending for a second before its prefill.
+   */
   private static final Duration KNOWN_WITHIN = Duration.ofMillis(900);
 
-  /** The ticks of an instance, of its collector and of another zone's, and the ways between. */
-  private static final Duration COLLECTED_WITHIN = Duration.ofMillis(350);
+  /** The ticks of an instance, its collector and a remote collector, and the network latency. */
+  private static final Duration COLLECTORS_KNOW_WITHIN = Duration.ofMillis(350);
 
   @DataProvider
   Object[][] sizes() {
@@ -43,7 +46,7 @@
   }
 
   @Test(dataProvider = "sizes")
-  public void testMessagesOfAnInstanceAreBoundedWhateverChanges(int zones, int perZone) {
+  public void testMessageRateIsBoundedUnderFrequentChanges(int zones, int perZone) {
     GatherFleet fleet = GatherFleet.of(zones, perZone, 1);
     fleet.run(SECOND);
     int before = fleet.messages();
@@ -56,22 +59,22 @@
     }
     double sent = (double) (fleet.messages() - before) / SECONDS;
     double between = (double) (fleet.messagesBetweenZones() - betweenBefore) / SECONDS;
-    assertTrue(sent <= 11 * zones * perZone, "messages a second " + sent);
-    assertTrue(sent - between <= 101 * zones, "in the zones " + (sent - between));
+    assertTrue(sent <= 11 * zones * perZone, "messages per second " + sent);
+    assertTrue(sent - between <= 101 * zones, "within zones " + (sent - between));
     assertTrue(between <= 4 * zones * (zones - 1), "between zones " + between);
   }
 
   @Test(dataProvider = "sizes")
-  public void testLittleIsToldWhileNothingIsOpen(int zones, int perZone) {
+  public void testFewMessagesWhileIdle(int zones, int perZone) {
     GatherFleet fleet = GatherFleet.of(zones, perZone, 1);
     fleet.run(SECOND);
     int before = fleet.messages();
     fleet.run(SECOND.multipliedBy(SECONDS));
-    assertTrue(fleet.messages() - before <= SECONDS * zones * perZone, "one a second");
+    assertTrue(fleet.messages() - before <= SECONDS * zones * perZone, "one per second");
   }
 
   @Test(dataProvider = "sizes")
-  public void testAllKnowWhatIsOpenElsewhere(int zones, int perZone) {
+  public void testPendingPromptsReachAllInstances(int zones, int perZone) {
     GatherFleet fleet = GatherFleet.of(zones, perZone, 2);
     fleet.run(SECOND);
     fleet.instances().forEach(instance -> instance.open.put("i-1", 10));
@@ -88,7 +91,7 @@
   }
 
   @Test(dataProvider = "sizes")
-  public void testEvidenceOfAllIsKnownToAllSoonAndCountsOnce(int zones, int perZone) {
+  public void testEvidenceReachesAllInstancesAndCountsOnce(int zones, int perZone) {
     GatherFleet fleet = GatherFleet.of(zones, perZone, 3);
     fleet.run(SECOND);
     fleet.instances().forEach(instance -> instance.worse = 2);
@@ -98,13 +101,13 @@
     }
   }
 
-  /** By messages from each to each 250 ms, and a look at the sum each 250 ms, it took up to 500. */
+  /** Direct messages every 250 ms with an evaluation every 250 ms would take up to 500 ms. */
   @Test(dataProvider = "sizes")
-  public void testCollectorsKnowWhatSpeaksAgainstVersionBeforeOthersDo(int zones, int perZone) {
+  public void testEvidenceReachesCollectorsFirst(int zones, int perZone) {
     GatherFleet fleet = GatherFleet.of(zones, perZone, 3);
     fleet.run(SECOND);
     fleet.instances().forEach(instance -> instance.worse = 2);
-    fleet.run(COLLECTED_WITHIN);
+    fleet.run(COLLECTORS_KNOW_WITHIN);
     for (int zone = 0; zone < zones; zone++) {
       Instance collector = fleet.collectorOf("zone-" + zone);
       assertEquals(collector.allWorse(), 2L * zones * perZone, collector.name());
@@ -112,13 +115,13 @@
   }
 
   @Test(dataProvider = "sizes")
-  public void testVersionThatOneInstanceRefutesIsKnownEverywhereAtOnce(int zones, int perZone) {
+  public void testRefutationReachesAllInstancesAtOnce(int zones, int perZone) {
     GatherFleet fleet = GatherFleet.of(zones, perZone, 4);
     fleet.run(SECOND);
-    Instance finder = fleet.instances().get(zones * perZone - 1);
-    finder.worse = 30;
-    finder.refuted = true;
-    finder.system.tellNow();
+    Instance refuter = fleet.instances().get(zones * perZone - 1);
+    refuter.worse = 30;
+    refuter.refuted = true;
+    refuter.system.tellNow();
     fleet.run(Duration.ofMillis(100));
     for (Instance instance : fleet.instances()) {
       assertTrue(instance.refuted, instance.name());
@@ -126,17 +129,17 @@
   }
 
   @Test
-  public void testCollectorThatIsSilentIsReplaced() {
+  public void testStoppedCollectorIsReplaced() {
     GatherFleet fleet = GatherFleet.of(5, 19, 5);
     fleet.instances().forEach(instance -> instance.worse = 1);
     fleet.run(SECOND);
     Instance collector = fleet.collectorOf("zone-0");
-    fleet.silence(collector.name());
+    fleet.stop(collector.name());
     fleet.instances().forEach(instance -> instance.worse = 2);
     fleet.run(SECOND.multipliedBy(2));
     for (Instance instance : fleet.instances()) {
       if (instance != collector) {
-        // The silent one counts with what it had told, or not at all where its sum was lost.
+        // The stopped instance counts with its last report, or not at all if its sum was lost.
         long all = 2 * 94;
         assertTrue(instance.allWorse() >= all, instance.name() + " " + instance.allWorse());
         assertTrue(instance.allWorse() <= all + 2, instance.name() + " " + instance.allWorse());
@@ -145,14 +148,14 @@
   }
 
   @Test
-  public void testFrozenCollectorThatWakesCountsNothingTwice() {
+  public void testResumedCollectorCountsNothingTwice() {
     GatherFleet fleet = GatherFleet.of(5, 19, 6);
     fleet.instances().forEach(instance -> instance.worse = 3);
     fleet.run(SECOND);
     Instance collector = fleet.collectorOf("zone-1");
-    fleet.silence(collector.name());
+    fleet.stop(collector.name());
     fleet.run(SECOND.multipliedBy(3));
-    fleet.wake(collector.name());
+    fleet.resume(collector.name());
     fleet.run(SECOND.multipliedBy(4));
     for (Instance instance : fleet.instances()) {
       assertEquals(instance.allWorse(), 3 * 95, instance.name());
@@ -160,14 +163,14 @@
   }
 
   @Test
-  public void testZoneThatWasCutOffIsCountedOnceAndAtOnceAfterwards() {
+  public void testZoneIsCountedOnceAfterPartition() {
     GatherFleet fleet = GatherFleet.of(5, 19, 7);
     fleet.instances().forEach(instance -> instance.worse = 1);
     fleet.run(SECOND);
-    fleet.cut("zone-2", true);
+    fleet.partition("zone-2", true);
     fleet.instances().forEach(instance -> instance.worse = 4);
     fleet.run(SECOND.multipliedBy(4));
-    fleet.cut("zone-2", false);
+    fleet.partition("zone-2", false);
     fleet.run(SECOND.multipliedBy(4));
     for (Instance instance : fleet.instances()) {
       assertEquals(instance.allWorse(), 4 * 95, instance.name());
@@ -175,22 +178,22 @@
   }
 
   @Test
-  public void testSeenSessionsReachAll() {
+  public void testSessionsReachAllInstances() {
     GatherFleet fleet = GatherFleet.of(5, 19, 8);
     fleet.run(SECOND);
-    for (int number = 0; number < fleet.instances().size(); number++) {
-      fleet.instances().get(number).kept.add(new SeenSession(GatherFleet.SERVICE, number, "v1", 0));
+    for (int index = 0; index < fleet.instances().size(); index++) {
+      fleet.instances().get(index).unsent.add(new SeenSession(GatherFleet.SERVICE, index, "v1", 0));
     }
     fleet.run(SECOND.multipliedBy(2));
     for (Instance instance : fleet.instances()) {
-      assertTrue(instance.sessionsHeard.size() >= 94, instance.name());
+      assertTrue(instance.receivedSessions.size() >= 94, instance.name());
     }
   }
 
   private static Account evidence(long worse) {
     PairCounts failures = new PairCounts(worse, 0);
     ComparedPairs pairs = new ComparedPairs(failures, PairCounts.NONE, PairCounts.NONE);
-    VersionEvidence one =
+    VersionEvidence evidence =
         new VersionEvidence(
             GatherFleet.SERVICE,
             GatherFleet.VERSION,
@@ -199,43 +202,46 @@
             10,
             false,
             0);
-    return new Account(Map.of(), List.of(one), Map.of(), Map.of());
+    return new Account(Map.of(), List.of(evidence), Map.of(), Map.of());
   }
 
-  private static Account accountOf(AdvertisedLimit limit) {
+  private static Account reportOf(AdvertisedLimit limit) {
     return new Account(Map.of(), List.of(), Map.of(), Map.of("i-1@1", limit));
   }
 
   @DataProvider
   Object[][] unsoundAccounts() {
-    ReadingLine noLine = new ReadingLine(Double.NaN, -1);
+    ReadingLine invalidSpeed = new ReadingLine(Double.NaN, -1);
     return new Object[][] {
       {evidence(-1)},
       {evidence(Long.MAX_VALUE)},
       {new Account(Map.of("i-1", -5), List.of(), Map.of(), Map.of())},
       {new Account(Map.of("i-1", Integer.MAX_VALUE), List.of(), Map.of(), Map.of())},
-      {new Account(Map.of(), List.of(), Map.of("large", noLine), Map.of())},
+      {new Account(Map.of(), List.of(), Map.of("large", invalidSpeed), Map.of())},
       {new Account(null, List.of(), Map.of(), Map.of())},
-      {accountOf(new AdvertisedLimit(Double.NaN, 0))},
-      {accountOf(new AdvertisedLimit(-2, 0))},
-      {accountOf(new AdvertisedLimit(1, -1))},
-      {accountOf(new AdvertisedLimit(1, Long.MAX_VALUE))},
+      {reportOf(new AdvertisedLimit(Double.NaN, 0))},
+      {reportOf(new AdvertisedLimit(-2, 0))},
+      {reportOf(new AdvertisedLimit(1, -1))},
+      {reportOf(new AdvertisedLimit(1, Long.MAX_VALUE))},
       {null},
     };
   }
 
   @Test(dataProvider = "unsoundAccounts")
-  public void testUnsoundAccountIsRefusedAndChangesNothing(Account unsound) {
+  public void testInvalidReportIsRejectedWithoutEffect(Account invalid) {
     GatherFleet fleet = GatherFleet.of(1, 3, 9);
     fleet.run(SECOND);
     Instance collector = fleet.collectorOf("zone-0");
     Instance other =
-        fleet.instances().stream().filter(one -> one != collector).findFirst().orElseThrow();
-    PeerMessage answer =
+        fleet.instances().stream()
+            .filter(instance -> instance != collector)
+            .findFirst()
+            .orElseThrow();
+    PeerMessage response =
         collector.system.handle(
             other.membership.self(),
-            new PeerMessage.InstanceAccount(unsound, List.of(), 0, CrashNews.NONE, 0));
-    assertTrue(answer instanceof PeerMessage.Failed, "answer " + answer);
+            new PeerMessage.InstanceAccount(invalid, List.of(), 0, CrashNews.NONE, 0));
+    assertTrue(response instanceof PeerMessage.Failed, "answer " + response);
     fleet.run(SECOND);
     assertEquals(other.others.openMillis(), Map.of());
     assertEquals(other.allWorse(), 0);
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/LimitFleetTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/LimitFleetTest.java
@@ -12,12 +12,15 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Only the instances that heard a limit kept to it, and the others went on. */
+/**
+ * Guards against exceeding an advertised rate limit because only the instances that received it in
+ * a response apply it.
+ */
 public class LimitFleetTest {
   private static final Duration SECOND = Duration.ofSeconds(1);
 
-  /** Within this time everyone who is in touch has to know, by the aim. */
-  private static final Duration IN_TOUCH = Duration.ofSeconds(3);
+  /** The target time within which all reachable instances know the limit. */
+  private static final Duration KNOWN_WITHIN = Duration.ofSeconds(3);
 
   @DataProvider
   Object[][] cases() {
@@ -27,75 +30,78 @@
   }
 
   @Test(dataProvider = "cases")
-  public void testAllInstancesTogetherKeepToTheLimit(int zones, int perZone, double rate) {
+  public void testInstancesTogetherStayWithinLimit(int zones, int perZone, double rate) {
     LimitScene scene = new LimitScene(GatherFleet.of(zones, perZone, 1), 60);
     scene.advertise(OptionalDouble.of(rate));
     scene.run(SECOND.multipliedBy(40));
-    assertKept(scene, rate);
-    assertTrue(scene.sentLast(SECOND.multipliedBy(30)) >= 0.9 * 30 * rate, "too few");
+    assertWithinLimit(scene, rate);
+    assertTrue(scene.sentWithin(SECOND.multipliedBy(30)) >= 0.9 * 30 * rate, "too few requests");
   }
 
   @Test(dataProvider = "cases")
-  public void testLimitThatChangesIsKept(int zones, int perZone, double rate) {
+  public void testChangingLimitIsApplied(int zones, int perZone, double rate) {
     LimitScene scene = new LimitScene(GatherFleet.of(zones, perZone, 2), 60);
     for (int second = 0; second < 20; second++) {
       scene.advertise(OptionalDouble.of(rate * (second % 2 + 1) / 2));
       scene.run(SECOND);
     }
-    assertKept(scene, rate);
+    assertWithinLimit(scene, rate);
   }
 
   @Test(dataProvider = "cases")
-  public void testEndOfTheLimitIsLearnedByAll(int zones, int perZone, double rate) {
+  public void testEndOfLimitReachesAllInstances(int zones, int perZone, double rate) {
     LimitScene scene = new LimitScene(GatherFleet.of(zones, perZone, 3), 60);
     scene.advertise(OptionalDouble.of(rate));
     scene.run(SECOND.multipliedBy(10));
     scene.advertise(OptionalDouble.empty());
-    scene.run(SECOND.multipliedBy(2).plus(IN_TOUCH));
-    assertEquals(scene.limited(), 0, "still limited at instances");
+    scene.run(SECOND.multipliedBy(2).plus(KNOWN_WITHIN));
+    assertEquals(scene.limitedInstances(), 0, "still limited at instances");
   }
 
   @Test(dataProvider = "cases")
-  public void testLimitIsKeptWhenOnlyOneInstanceHasRequests(int zones, int perZone, double rate) {
+  public void testLimitIsAppliedWhenOneInstanceHasRequests(int zones, int perZone, double rate) {
     LimitScene scene = new LimitScene(GatherFleet.of(zones, perZone, 7), 60);
     scene.advertise(OptionalDouble.of(rate));
     scene.run(SECOND.multipliedBy(10));
     scene.sendOnlyFrom(instance -> instance.name().equals("entry-0-0"));
     scene.run(SECOND.multipliedBy(30));
-    assertKept(scene, rate);
+    assertWithinLimit(scene, rate);
   }
 
-  /** The instances that should send had no requests, so nobody heard that the limit had ended. */
+  /**
+   * Guards against a limit that never ends because the instances whose turn it is to send have no
+   * requests and so receive no response without the limit.
+   */
   @Test(dataProvider = "cases")
-  public void testEndOfTheLimitIsLearnedWhoeverHasRequests(int zones, int perZone, double rate) {
+  public void testEndOfLimitReachesAllWhenOneInstanceHasRequests(
+      int zones, int perZone, double rate) {
     LimitScene scene = new LimitScene(GatherFleet.of(zones, perZone, 6), 60);
     scene.advertise(OptionalDouble.of(rate));
     scene.run(SECOND.multipliedBy(10));
     scene.sendOnlyFrom(instance -> instance.name().equals("entry-0-0"));
     scene.advertise(OptionalDouble.empty());
     scene.run(SharedRateLimit.TURN.multipliedBy(perZone + 1));
-    assertEquals(scene.limited(), 0, "still limited at instances");
+    assertEquals(scene.limitedInstances(), 0, "still limited at instances");
   }
 
   @Test(dataProvider = "cases")
-  public void testInstancesThatHeardNoAnswerLearnTheLimitInTime(
-      int zones, int perZone, double rate) {
+  public void testLimitReachesInstancesWithoutResponseInTime(int zones, int perZone, double rate) {
     GatherFleet fleet = GatherFleet.of(zones, perZone, 4);
     fleet.run(SECOND);
     fleet.instances().get(perZone - 1).limits.advertised("i-1@1", rate);
-    fleet.run(IN_TOUCH);
+    fleet.run(KNOWN_WITHIN);
     assertKnown(fleet, rate);
   }
 
   @Test(dataProvider = "cases")
-  public void testZoneThatWasCutOffLearnsTheLimitOnceItIsBack(int zones, int perZone, double rate) {
+  public void testLimitReachesZoneAfterPartition(int zones, int perZone, double rate) {
     GatherFleet fleet = GatherFleet.of(zones, perZone, 5);
-    fleet.cut("zone-1", true);
+    fleet.partition("zone-1", true);
     fleet.run(SECOND);
     fleet.instances().get(0).limits.advertised("i-1@1", rate);
     fleet.run(SECOND.multipliedBy(8));
-    fleet.cut("zone-1", false);
-    fleet.run(SECOND.multipliedBy(2).plus(IN_TOUCH));
+    fleet.partition("zone-1", false);
+    fleet.run(SECOND.multipliedBy(2).plus(KNOWN_WITHIN));
     assertKnown(fleet, rate);
   }
 
@@ -105,8 +111,10 @@
     }
   }
 
-  private static void assertKept(LimitScene scene, double rate) {
+  private static void assertWithinLimit(LimitScene scene, double rate) {
     double allowed = 6 * rate + 5;
-    assertTrue(scene.worst() <= allowed, scene.worst() + " in 4 s, allowed " + allowed);
+    assertTrue(
+        scene.maximumCounted() <= allowed,
+        scene.maximumCounted() + " requests in 4 s, allowed " + allowed);
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/LimitScene.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/LimitScene.java
@@ -21,38 +21,38 @@
 import org.oatlug.internal.limit.SharedRateLimit.Target;
 
 /**
- * An upstream that advertises a limit, and instances that all send to it as fast as they may, in
- * virtual time. Used from one thread.
+ * Simulates in virtual time an upstream that advertises a rate limit and instances that send to it
+ * as fast as they may. Used from one thread.
  */
 final class LimitScene {
   private static final String UPSTREAM = "i-1@1";
-  private static final Duration ANSWER = Duration.ofMillis(30);
+  private static final Duration RESPONSE_TIME = Duration.ofMillis(30);
   private static final Duration TICK = Duration.ofMillis(100);
 
-  /** The rule counts the requests of an instance from so long after its first answer. */
-  private static final Duration HEARD_FOR = Duration.ofMillis(500);
+  /** The time from the first limited response of an instance until its requests are counted. */
+  private static final Duration GRACE = Duration.ofMillis(500);
 
   private static final Duration SPAN = Duration.ofSeconds(4);
-  private static final Duration MEETING = Duration.ofSeconds(6);
+  private static final Duration WARM_UP = Duration.ofSeconds(6);
 
   private final GatherFleet fleet;
-  private final Duration pause;
-  private final Map<String, Instant> heardAt = new HashMap<>();
+  private final Duration interval;
+  private final Map<String, Instant> firstLimitedAt = new HashMap<>();
   private final Deque<Instant> counted = new ArrayDeque<>();
   private final List<Instant> sent = new ArrayList<>();
   private OptionalDouble limit = OptionalDouble.empty();
   private Predicate<Instance> hasRequests = unused -> true;
-  private int worst;
+  private int maximumCounted;
 
-  /** Makes instances that know each other and send at least so many milliseconds apart. */
+  /** Starts senders at all instances, each with a minimum interval in milliseconds. */
   LimitScene(GatherFleet fleet, int pauseMillis) {
     this.fleet = fleet;
-    this.pause = Duration.ofMillis(pauseMillis);
+    this.interval = Duration.ofMillis(pauseMillis);
     fleet.instances().forEach(instance -> new Sender(instance).start());
-    fleet.run(MEETING);
+    fleet.run(WARM_UP);
   }
 
-  /** An instance that sends whenever it may. */
+  /** An instance that sends whenever the limit allows. */
   private final class Sender {
     private final Instance instance;
     private final RankedSenders senders;
@@ -77,7 +77,7 @@
     }
 
     private void send() {
-      fleet.after(pause, this::send);
+      fleet.after(interval, this::send);
       if (!hasRequests.test(instance)) {
         return;
       }
@@ -90,13 +90,13 @@
         }
         rates.acquire(target).written(now);
       }
-      note(instance.name(), now);
-      fleet.after(ANSWER, () -> answered(now));
+      recordSent(instance.name(), now);
+      fleet.after(RESPONSE_TIME, () -> receiveResponse(now));
     }
 
-    private void answered(Instant written) {
+    private void receiveResponse(Instant written) {
       if (limit.isPresent()) {
-        heardAt.putIfAbsent(instance.name(), fleet.clock().instant());
+        firstLimitedAt.putIfAbsent(instance.name(), fleet.clock().instant());
         instance.limits.advertised(UPSTREAM, limit.getAsDouble());
       } else {
         instance.limits.notAdvertised(UPSTREAM, written);
@@ -104,47 +104,47 @@
     }
   }
 
-  private void note(String name, Instant now) {
+  private void recordSent(String name, Instant now) {
     sent.add(now);
-    Instant heard = heardAt.get(name);
-    if (heard == null || now.isBefore(heard.plus(HEARD_FOR))) {
+    Instant limitedSince = firstLimitedAt.get(name);
+    if (limitedSince == null || now.isBefore(limitedSince.plus(GRACE))) {
       return;
     }
     counted.add(now);
     while (!counted.peek().isAfter(now.minus(SPAN))) {
       counted.remove();
     }
-    worst = Math.max(worst, counted.size());
+    maximumCounted = Math.max(maximumCounted, counted.size());
   }
 
-  /** Lets the upstream advertise a limit from now on, or none. */
+  /** Sets the limit that the upstream advertises from now on, or none. */
   void advertise(OptionalDouble newLimit) {
     limit = newLimit;
   }
 
-  /** Lets only some instances have requests to send. */
+  /** Restricts the requests to some instances. */
   void sendOnlyFrom(Predicate<Instance> instances) {
     hasRequests = instances;
   }
 
-  /** Lets the time pass. */
-  void run(Duration time) {
-    fleet.run(time);
+  /** Advances the virtual time. */
+  void run(Duration duration) {
+    fleet.run(duration);
   }
 
-  /** Returns the most requests in any span of instances that had heard a limit. */
-  int worst() {
-    return worst;
+  /** Returns the maximum number of counted requests in any span. */
+  int maximumCounted() {
+    return maximumCounted;
   }
 
-  /** Returns how many requests the upstream got of late. */
-  long sentLast(Duration span) {
+  /** Returns the number of requests sent within the last span. */
+  long sentWithin(Duration span) {
     Instant from = fleet.clock().instant().minus(span);
-    return sent.stream().filter(at -> at.isAfter(from)).count();
+    return sent.stream().filter(sentAt -> sentAt.isAfter(from)).count();
   }
 
-  /** Returns how many instances take the upstream for limited. */
-  long limited() {
+  /** Returns the number of instances that know a limit of the upstream. */
+  long limitedInstances() {
     return fleet.instances().stream()
         .filter(instance -> instance.limits.of(UPSTREAM).isPresent())
         .count();
--- /dev/null
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/ReportAggregatorTest.java
@@ -0,0 +1,90 @@
+// Copyright (c) 2026, the oatlug authors
+// SPDX-License-Identifier: BSD-3-Clause
+
+package org.oatlug.internal.gather;
+
+import static org.testng.Assert.assertEquals;
+
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import net.jqwik.api.Example;
+import net.jqwik.api.ForAll;
+import net.jqwik.api.Property;
+import net.jqwik.api.constraints.IntRange;
+import org.oatlug.internal.engine.OpenReading;
+import org.oatlug.internal.rollout.ComparedPairs;
+import org.oatlug.internal.rollout.PairCounts;
+import org.oatlug.internal.rollout.VersionEvidence;
+import org.oatlug.platform.StoreRevision;
+
+/** Verifies that aggregates do not depend on the order or repetition of reports. */
+class ReportAggregatorTest {
+  private static final String SEED = "20261202";
+
+  private final Instant now = Instant.parse("2026-12-02T12:00:00Z");
+
+  private static Account report(long orderedAt, long worse, int open) {
+    PairCounts failures = new PairCounts(worse, worse / 2);
+    ComparedPairs pairs = new ComparedPairs(failures, PairCounts.NONE, PairCounts.NONE);
+    VersionEvidence evidence =
+        new VersionEvidence(
+            "pool", "v2", StoreRevision.ofNumber(orderedAt), pairs, 2 * worse, false, 0);
+    return new Account(Map.of("i-1", open), List.of(evidence), Map.of(), Map.of());
+  }
+
+  /** A report of a process, with a number of worse pairs that grows with each state. */
+  private record ProcessReport(String process, long worse) {}
+
+  @Property(seed = SEED)
+  void testEvidenceIsSumOfLatestStatesInAnyOrder(
+      @ForAll @IntRange(min = 1, max = 8) int processes, @ForAll Random random) {
+    List<ProcessReport> reports = new ArrayList<>();
+    long expected = 0;
+    for (int process = 0; process < processes; process++) {
+      long worse = 0;
+      for (int state = 0; state <= random.nextInt(4); state++) {
+        worse += random.nextInt(5);
+        reports.add(new ProcessReport("p-" + process, worse));
+        reports.add(new ProcessReport("p-" + process, worse));
+      }
+      expected += worse;
+    }
+    Collections.shuffle(reports, random);
+    ReportAggregator aggregator = ReportAggregator.create();
+    for (ProcessReport sent : reports) {
+      aggregator.putInstance(sent.process(), report(7, sent.worse(), 0), now);
+    }
+    assertEquals(aggregator.sumOfZone(now).worsePairs(), expected);
+    assertEquals(aggregator.sumExcept("nobody", now).worsePairs(), expected);
+  }
+
+  @Example
+  void testPendingPromptsAreReplacedExpireAndExcludeTheRequester() {
+    ReportAggregator aggregator = ReportAggregator.create();
+    aggregator.putInstance("a", report(7, 0, 50), now);
+    aggregator.putInstance("a", report(7, 0, 20), now);
+    aggregator.putInstance("b", report(7, 0, 3), now);
+    aggregator.putZone("there", report(7, 0, 100), now);
+    assertEquals(aggregator.sumOfZone(now).openMillis(), Map.of("i-1", 23));
+    assertEquals(aggregator.sumExcept("a", now).openMillis(), Map.of("i-1", 103));
+    Instant later = now.plus(OpenReading.VALID).plusMillis(1);
+    assertEquals(aggregator.sumExcept("a", later).openMillis(), Map.of());
+    assertEquals(aggregator.sumExcept("a", later).evidence().size(), 1, "evidence is retained");
+    Instant muchLater = now.plus(ReportAggregator.EVIDENCE_VALID).plusMillis(1);
+    assertEquals(aggregator.sumExcept("a", muchLater).evidence(), List.of());
+  }
+
+  @Example
+  void testEvidenceOfEarlierOrderIsDropped() {
+    ReportAggregator aggregator = ReportAggregator.create();
+    aggregator.putInstance("a", report(7, 40, 0), now);
+    aggregator.putInstance("b", report(9, 2, 0), now);
+    assertEquals(aggregator.sumOfZone(now).worsePairs(), 2);
+    aggregator.putInstance("a", report(9, 1, 0), now);
+    assertEquals(aggregator.sumOfZone(now).worsePairs(), 3);
+  }
+}
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/package-info.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/package-info.java
@@ -1,5 +1,5 @@
 // Copyright (c) 2026, the oatlug authors
 // SPDX-License-Identifier: BSD-3-Clause
 
-/** Tests of what instances tell each other through collectors. */
+/** Tests of the state exchange between instances through collectors. */
 package org.oatlug.internal.gather;
--- a/org.oatlug/src/org/oatlug/internal/gather/Account.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/Account.java
@@ -15,84 +15,90 @@
 import org.oatlug.internal.rollout.VersionEvidence;
 
 /**
- * What one instance, or several together, have open, see and have measured. Immutable, thread-safe.
+ * Reports the pending prompts, version evidence, prefill speeds and rate limits of one instance or
+ * the aggregate of several. Immutable, thread-safe.
  *
- * @param openMillis how long the prompts take that wait to be read, in milliseconds by upstream
- * @param evidence what was seen of versions that are brought in, one entry a service
- * @param speeds how fast engines read, by model; any instance's measurement serves all
- * @param limits what upstreams advertise of their rate limits, by upstream with its start
+ * @param openMillis the estimated prefill time of the pending prompts, in milliseconds by upstream
+ * @param evidence the evidence on versions that are being rolled out, one entry per service
+ * @param speeds the prefill speed of engines by model; a measurement of any instance is valid for
+ *     all
+ * @param limits the rate limits that upstreams advertise, by upstream process
  */
 public record Account(
     Map<String, Integer> openMillis,
     List<VersionEvidence> evidence,
     Map<String, ReadingLine> speeds,
     Map<String, AdvertisedLimit> limits) {
-  /** Nothing at all. */
+  /** An empty report. */
   public static final Account EMPTY = new Account(Map.of(), List.of(), Map.of(), Map.of());
 
-  /** More than what waits at an upstream in the longest queue, in milliseconds. */
-  private static final int MOST_OPEN_MILLIS = 10_000_000;
+  /** Exceeds the prefill time of the longest queue of an upstream, in milliseconds. */
+  private static final int MAXIMUM_OPEN_MILLIS = 10_000_000;
 
-  /** More upstreams, services or models than the design size has. */
-  private static final int MOST_ENTRIES = 10_000;
+  /** Exceeds the number of upstreams, services and models at the design size. */
+  private static final int MAXIMUM_ENTRIES = 10_000;
 
-  /** Takes missing limits, of an instance that knows none of them, for no limits. */
+  /** Replaces missing limits, as sent by an instance of an earlier version, by an empty map. */
   public Account {
     limits = limits == null ? Map.of() : limits;
   }
 
-  /** Returns the account of several together, who are different instances. */
-  static Account sumOf(Iterable<Account> accounts) {
+  /** Returns the aggregate of reports of different instances. */
+  static Account sumOf(Iterable<Account> reports) {
     Map<String, Integer> open = new TreeMap<>();
     Map<String, ReadingLine> lines = new TreeMap<>();
     Map<String, VersionEvidence> byService = new TreeMap<>();
     Map<String, AdvertisedLimit> newest = new TreeMap<>();
-    for (Account account : accounts) {
-      account.openMillis.forEach((upstream, millis) -> open.merge(upstream, millis, Integer::sum));
-      account.speeds.forEach(lines::putIfAbsent);
-      account.limits.forEach((name, limit) -> newest.merge(name, limit, AdvertisedLimit::newer));
-      account.evidence.forEach(one -> byService.merge(one.service(), one, Account::sumOrLater));
+    for (Account report : reports) {
+      report.openMillis.forEach((upstream, millis) -> open.merge(upstream, millis, Integer::sum));
+      report.speeds.forEach(lines::putIfAbsent);
+      report.limits.forEach((name, limit) -> newest.merge(name, limit, AdvertisedLimit::newer));
+      report.evidence.forEach(
+          entry -> byService.merge(entry.service(), entry, Account::sumOrLatest));
     }
     return new Account(open, List.copyOf(byService.values()), lines, newest);
   }
 
-  /** Returns what both saw of a service; what was seen of an earlier order counts no more. */
-  private static VersionEvidence sumOrLater(VersionEvidence one, VersionEvidence two) {
-    if (one.isOfSameOrder(two)) {
-      return one.plus(two);
+  /** Returns the sum of evidence on the same roll-out order; a later order replaces an earlier. */
+  private static VersionEvidence sumOrLatest(VersionEvidence left, VersionEvidence right) {
+    if (left.isOfSameOrder(right)) {
+      return left.plus(right);
     }
-    return two.orderedAt().isAfter(one.orderedAt()) ? two : one;
+    return right.orderedAt().isAfter(left.orderedAt()) ? right : left;
   }
 
-  /** Returns this later account of the same instances, with no evidence less than before. */
-  Account after(Account earlier) {
+  /**
+   * Returns this report joined with an earlier one of the same instances, so that evidence never
+   * decreases.
+   */
+  Account joinEarlier(Account earlier) {
     List<VersionEvidence> joined = new ArrayList<>();
-    for (VersionEvidence one : evidence) {
-      VersionEvidence grown = one;
-      for (VersionEvidence before : earlier.evidence) {
-        grown = one.isOfSameOrder(before) ? grown.join(before) : grown;
+    for (VersionEvidence current : evidence) {
+      VersionEvidence result = current;
+      for (VersionEvidence previous : earlier.evidence) {
+        result = current.isOfSameOrder(previous) ? result.join(previous) : result;
       }
-      joined.add(grown);
+      joined.add(result);
     }
     Map<String, ReadingLine> lines = new TreeMap<>(earlier.speeds);
     lines.putAll(speeds);
     return new Account(openMillis, joined, lines, limits);
   }
 
-  /** Returns this account some time later. */
-  Account aged(Duration passed) {
+  /** Returns this report with all ages increased by the elapsed time. */
+  Account aged(Duration elapsed) {
     if (evidence.isEmpty() && limits.isEmpty()) {
       return this;
     }
     return new Account(
         openMillis,
-        evidence.stream().map(one -> one.after(passed)).toList(),
+        evidence.stream().map(entry -> entry.after(elapsed)).toList(),
         speeds,
-        Maps.transformValues(limits, limit -> limit.aged(passed)));
+        Maps.transformValues(limits, limit -> limit.aged(elapsed)));
   }
 
-  /** Returns whether anything but the time that has passed differs. */
-  boolean saysTheSameAs(Account other) {
+  /** Returns whether the reports are equal apart from ages. */
+  boolean equalsIgnoringAges(Account other) {
     return openMillis.equals(other.openMillis)
         && speeds.equals(other.speeds)
         && ageless(limits).equals(ageless(other.limits))
@@ -107,56 +113,58 @@
     return Maps.transformValues(limits, AdvertisedLimit::requestsPerSecond);
   }
 
-  /** Returns this account without the prompts that wait. */
-  Account withoutOpen() {
+  /** Returns this report without the pending prompts. */
+  Account withoutPendingPrompts() {
     return new Account(Map.of(), evidence, speeds, limits);
   }
 
-  /** Returns the number of pairs that speak against versions. */
+  /** Returns the number of compared pairs in which the new version was worse. */
   long worsePairs() {
-    return evidence.stream().mapToLong(one -> one.pairs().worse()).sum();
+    return evidence.stream().mapToLong(entry -> entry.pairs().worse()).sum();
   }
 
-  /** Returns the number of versions that are known to be bad. */
+  /** Returns the number of refuted versions. */
   long refuted() {
     return evidence.stream().filter(VersionEvidence::refuted).count();
   }
 
-  /** Returns whether nothing is open and no version is brought in. */
+  /** Returns whether no prompt is pending and no version is being rolled out. */
   boolean isIdle() {
     return openMillis.isEmpty() && evidence.isEmpty();
   }
 
-  /** Returns what is wrong with an account that a peer sent, empty if it can be taken in. */
+  /** Validates a report of a peer: returns the reason to reject it, empty if it is valid. */
   Optional<String> problem() {
     if (openMillis == null || evidence == null || speeds == null) {
-      return Optional.of("the account lacks a field");
+      return Optional.of("a field of the report is missing");
     }
     int entries = openMillis.size() + evidence.size() + speeds.size() + limits.size();
-    if (entries > MOST_ENTRIES) {
-      return Optional.of("the account has " + entries + " entries");
+    if (entries > MAXIMUM_ENTRIES) {
+      return Optional.of("the report has " + entries + " entries");
     }
-    if (!openMillis.values().stream().allMatch(Account::isSoundOpen)) {
-      return Optional.of("a wait is negative or too long");
+    if (!openMillis.values().stream().allMatch(Account::isValidOpenMillis)) {
+      return Optional.of("a pending prefill time is negative or too long");
     }
-    if (!speeds.values().stream().allMatch(Account::isSoundLine)) {
-      return Optional.of("a reading speed is no speed");
+    if (!speeds.values().stream().allMatch(Account::isValidSpeed)) {
+      return Optional.of("a prefill speed is missing, negative or not finite");
     }
     if (!limits.values().stream().allMatch(limit -> limit != null && limit.isSound())) {
-      return Optional.of("a rate limit is no rate");
+      return Optional.of("a rate limit is missing or invalid");
     }
-    return evidence.stream().flatMap(one -> problemOf(one).stream()).findFirst();
+    return evidence.stream().flatMap(entry -> problemOf(entry).stream()).findFirst();
   }
 
   private static Optional<String> problemOf(VersionEvidence evidence) {
-    return evidence == null ? Optional.of("evidence is missing") : evidence.problem();
+    return evidence == null
+        ? Optional.of("an entry of the evidence is missing")
+        : evidence.problem();
   }
 
-  private static boolean isSoundOpen(Integer millis) {
-    return millis != null && millis >= 0 && millis <= MOST_OPEN_MILLIS;
+  private static boolean isValidOpenMillis(Integer millis) {
+    return millis != null && millis >= 0 && millis <= MAXIMUM_OPEN_MILLIS;
   }
 
-  private static boolean isSoundLine(ReadingLine line) {
+  private static boolean isValidSpeed(ReadingLine line) {
     return line != null
         && Double.isFinite(line.fixedMillis())
         && Double.isFinite(line.millisPerToken())
--- a/org.oatlug/src/org/oatlug/internal/gather/GatherSystem.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/GatherSystem.java
@@ -20,37 +20,36 @@
 import org.oatlug.internal.util.TickSystem;
 
 /**
- * Tells the collector of the availability zone what this instance has open and sees, and learns
- * what all others do; as the collector, adds up the zone and tells the other zones.
+ * Sends the report of this instance to the collector of the availability zone and receives the
+ * aggregate of all others; as the collector, aggregates the zone and replicates it to the other
+ * zones.
  *
- * <p>Each message holds the whole account, so one that is lost is made good by the next.
- * Invariants: an instance has one question to its collector open at a time and asks it at most once
- * a pause that grows with the zone, so that a collector answers a bounded number of them; nothing
- * is sent while nothing changed and what was told still counts; what speaks against a version is
- * told at the next tick, and that it is bad at once. Owned by one event loop, not thread-safe.
+ * <p>Each message carries the whole report, so the next message replaces one that is lost.
+ * Invariants: an instance has at most one outstanding request to its collector and an interval of
+ * requests that grows with the zone, so that the request rate of a collector is bounded; nothing is
+ * sent while the report is unchanged and the last one has not expired; evidence against a version
+ * is sent at the next tick, and its refutation at once. Owned by one event loop, not thread-safe.
  */
 public final class GatherSystem implements TickSystem {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** The least pause between two questions: a fraction of the time that a prompt waits. */
-  private static final Duration LEAST_PAUSE = Duration.ofMillis(100);
+  /** The minimum interval of requests: a fraction of the time for which a prompt is pending. */
+  private static final Duration MINIMUM_INTERVAL = Duration.ofMillis(100);
 
-  /** How much longer the pause is for each instance of the zone: a collector gets 100 a second. */
-  private static final Duration PAUSE_PER_INSTANCE = Duration.ofMillis(10);
+  /** The interval per instance of the zone, which limits a collector to 100 requests a second. */
+  private static final Duration INTERVAL_PER_INSTANCE = Duration.ofMillis(10);
 
-  /** The pause after which the account is told anew while nothing is open or brought in. */
+  /** The interval of reports while no prompt is pending and no version is being rolled out. */
   private static final Duration IDLE_REFRESH = Duration.ofSeconds(1);
 
-  /** How long a peer may take to answer: many times the way between zones. */
-  private static final Duration PATIENCE = Duration.ofMillis(400);
+  /** The timeout of a request: many times the latency between zones. */
+  private static final Duration TIMEOUT = Duration.ofMillis(400);
 
-  /**
-   * In this time the collectors of all zones have told one that has just started what they know.
-   */
-  private static final Duration MEETING = Duration.ofMillis(600);
+  /** The time within which a new instance receives the state of the collectors of all zones. */
+  private static final Duration INITIAL_EXCHANGE = Duration.ofMillis(600);
 
-  /** At most a line each so many seconds tells of accounts that were refused. */
-  private static final int REFUSED_LINES_SECONDS = 1;
+  /** The minimum interval of log lines on rejected reports, in seconds. */
+  private static final int REJECTION_LOG_SECONDS = 1;
 
   private final Membership membership;
   private final PeerNetwork network;
@@ -58,21 +57,21 @@
   private final Meters meters;
   private final Participant participant;
   private final ZoneCollectors collectors;
-  private final Accounts accounts = Accounts.create();
+  private final ReportAggregator aggregator = ReportAggregator.create();
   private final SessionLog sessions = SessionLog.create();
-  private final UntoldSessions untold = UntoldSessions.create();
-  private final ToldZones zones = ToldZones.create(sessions);
+  private final PendingSessions pendingSessions = PendingSessions.create();
+  private final ZoneReplication zoneReplication = ZoneReplication.create(sessions);
   private final CrashLedger ledger;
-  private final ToldCrashes crashes;
-  private Account told = Account.EMPTY;
-  private Instant toldAt = Instant.EPOCH;
+  private final CrashReplication crashes;
+  private Account lastReport = Account.EMPTY;
+  private Instant reportedAt = Instant.EPOCH;
   private Optional<Instant> startedAt = Optional.empty();
   private boolean informed;
-  private boolean asking;
-  private String collector = "";
+  private boolean requestOutstanding;
+  private String collectorProcess = "";
   private long readUpTo;
   private long pushedRefuted;
-  private long pushedCrashes;
+  private long pushedCrashRevision;
 
   private GatherSystem(
       Membership membership,
@@ -87,14 +86,14 @@
     this.meters = meters;
     this.participant = participant;
     this.ledger = ledger;
-    this.crashes = ToldCrashes.of(ledger);
+    this.crashes = CrashReplication.of(ledger);
     this.collectors = ZoneCollectors.of(membership, clock);
   }
 
   /**
-   * Returns a system that gathers what participants tell.
+   * Returns a system that exchanges the reports of a participant.
    *
-   * @param ledger the requests that upstreams ended under, which all instances join
+   * @param ledger the requests during which upstreams crashed, merged by all instances
    */
   public static GatherSystem create(
       Membership membership,
@@ -110,196 +109,203 @@
   public void tick() {
     Instant now = clock.instant();
     startedAt = startedAt.or(() -> Optional.of(now));
-    untold.add(participant.newlySeen(), now);
+    pendingSessions.add(participant.newlySeen(), now);
     Account own = participant.own();
-    Optional<Member> other = collectors.ofOwnZone();
-    if (other.isEmpty()) {
+    Optional<Member> remoteCollector = collectors.ofOwnZone();
+    if (remoteCollector.isEmpty()) {
       collect(own, now);
-    } else if (!asking && (crashes.isBehind(other.get()) || isDue(own, now))) {
-      ask(other.get(), own, now);
+    } else if (!requestOutstanding
+        && (crashes.isBehind(remoteCollector.get()) || isDue(own, now))) {
+      sendReport(remoteCollector.get(), own, now);
     }
   }
 
-  /** Tells at once what this instance sees, as when it finds that a version is bad. */
+  /** Sends the report of this instance at once, as after it refuted a version. */
   public void tellNow() {
-    toldAt = Instant.EPOCH;
+    reportedAt = Instant.EPOCH;
     tick();
   }
 
   /**
-   * Returns whether this instance has learned what the others know of sessions: it has the answer
-   * of a collector that knows, or has run for long enough that all could tell it.
+   * Returns whether this instance has the session records of the others: it has the response of an
+   * informed collector, or has run for long enough to have received them from all.
    */
   public boolean isInformed() {
     return informed || hasMet();
   }
 
-  /** Returns whether this instance has run for long enough that all others could tell it. */
+  /** Returns whether this instance has run for long enough to have received all reports. */
   public boolean hasMet() {
-    return startedAt.map(since -> clock.instant().isAfter(since.plus(MEETING))).orElse(false);
+    return startedAt
+        .map(start -> clock.instant().isAfter(start.plus(INITIAL_EXCHANGE)))
+        .orElse(false);
   }
 
   private boolean isDue(Account own, Instant now) {
-    Duration since = Duration.between(toldAt, now);
-    if (own.worsePairs() > told.worsePairs() || own.refuted() > told.refuted()) {
+    Duration elapsed = Duration.between(reportedAt, now);
+    if (own.worsePairs() > lastReport.worsePairs() || own.refuted() > lastReport.refuted()) {
       return true;
     }
-    Duration refresh = own.isIdle() && told.isIdle() ? IDLE_REFRESH : Accounts.REFRESH;
-    if (since.compareTo(refresh) >= 0) {
+    Duration refresh =
+        own.isIdle() && lastReport.isIdle() ? IDLE_REFRESH : ReportAggregator.REFRESH_INTERVAL;
+    if (elapsed.compareTo(refresh) >= 0) {
       return true;
     }
-    Duration pause = PAUSE_PER_INSTANCE.multipliedBy(membership.zonePeers().size() + 1L);
-    boolean changed = !untold.isEmpty() || !own.saysTheSameAs(told);
-    return changed && since.compareTo(LEAST_PAUSE) >= 0 && since.compareTo(pause) >= 0;
+    Duration interval = INTERVAL_PER_INSTANCE.multipliedBy(membership.zonePeers().size() + 1L);
+    boolean changed = !pendingSessions.isEmpty() || !own.equalsIgnoringAges(lastReport);
+    return changed && elapsed.compareTo(MINIMUM_INTERVAL) >= 0 && elapsed.compareTo(interval) >= 0;
   }
 
-  private void ask(Member peer, Account own, Instant now) {
-    if (isAnother(peer.process())) {
-      // What the one before was told may be lost with it; what others saw is told by them.
-      untold.add(participant.seenHere(), now);
+  private void sendReport(Member peer, Account own, Instant now) {
+    if (changeCollector(peer.process())) {
+      // The previous collector may have lost its sessions; every instance resends its own.
+      pendingSessions.add(participant.seenHere(), now);
     }
-    asking = true;
-    told = own;
-    toldAt = now;
-    UntoldSessions.Sent sent = untold.sent(now);
-    CrashNews news = crashes.newsFor(peer);
-    PeerMessage question =
+    requestOutstanding = true;
+    lastReport = own;
+    reportedAt = now;
+    PendingSessions.Batch batch = pendingSessions.nextBatch(now);
+    CrashNews crashChanges = crashes.changesFor(peer);
+    PeerMessage request =
         new PeerMessage.InstanceAccount(
-            told, sent.sessions(), readUpTo, news, crashes.readFrom(peer));
+            lastReport, batch.sessions(), readUpTo, crashChanges, crashes.readRevision(peer));
     network
-        .ask(peer, question, PATIENCE)
+        .ask(peer, request, TIMEOUT)
         .subscribe()
         .with(
-            answer -> {
-              answered(peer, sent, answer);
-              takeCrashes(peer, news, answer);
+            response -> {
+              reportAcknowledged(peer, batch, response);
+              mergeCrashes(peer, crashChanges, response);
             },
-            failure -> notAnswered(peer, failure));
+            failure -> reportFailed(peer, failure));
   }
 
-  /** Returns whether another process collects than before; its log is read from its beginning. */
-  private boolean isAnother(String process) {
-    if (process.equals(collector)) {
+  /** Returns whether the collector changed; the log of a new one is read from its start. */
+  private boolean changeCollector(String process) {
+    if (process.equals(collectorProcess)) {
       return false;
     }
-    collector = process;
+    collectorProcess = process;
     readUpTo = 0;
     return true;
   }
 
-  private void answered(Member peer, UntoldSessions.Sent sent, PeerMessage answer) {
-    asking = false;
-    collectors.answered(peer);
-    untold.told(sent);
-    if (answer instanceof PeerMessage.FleetAccount fleet && isSound(peer, fleet.others())) {
+  private void reportAcknowledged(Member peer, PendingSessions.Batch batch, PeerMessage response) {
+    requestOutstanding = false;
+    collectors.responded(peer);
+    pendingSessions.acknowledge(batch);
+    if (response instanceof PeerMessage.FleetAccount fleet && isValid(peer, fleet.others())) {
       readUpTo = fleet.sessionsUpTo();
       informed |= fleet.informed();
       participant.heard(fleet.others());
-      participant.heardSessions(soundOf(fleet.seen()));
+      participant.heardSessions(validOf(fleet.seen()));
     }
   }
 
-  private void takeCrashes(Member peer, CrashNews sent, PeerMessage answer) {
-    if (answer instanceof PeerMessage.FleetAccount fleet) {
-      crashes.confirmed(peer, sent);
-      crashes.heard(peer, fleet.crashes());
+  private void mergeCrashes(Member peer, CrashNews sent, PeerMessage response) {
+    if (response instanceof PeerMessage.FleetAccount fleet) {
+      crashes.acknowledged(peer, sent);
+      crashes.mergeResponse(peer, fleet.crashes());
     }
   }
 
-  private static List<SeenSession> soundOf(List<SeenSession> sessions) {
-    return sessions.stream().filter(SeenSession::isSound).toList();
+  private static List<SeenSession> validOf(List<SeenSession> sessions) {
+    return sessions.stream().filter(SeenSession::isValid).toList();
   }
 
-  private void notAnswered(Member peer, Throwable failure) {
-    asking = false;
-    // What was told may be lost, so the next collector is told at the next tick.
-    toldAt = Instant.EPOCH;
-    lost(peer, failure);
+  private void reportFailed(Member peer, Throwable failure) {
+    requestOutstanding = false;
+    // The report may be lost, so it is sent to the next collector at the next tick.
+    reportedAt = Instant.EPOCH;
+    sendFailed(peer, failure);
   }
 
-  private void lost(Member peer, Throwable failure) {
+  private void sendFailed(Member peer, Throwable failure) {
     collectors.failed(peer);
     meters.count("peer.account-lost");
-    logger.atFine().log("account not told to %s: %s", peer.name(), failure.getMessage());
+    logger.atFine().log("report not delivered to %s: %s", peer.name(), failure.getMessage());
   }
 
-  /** Adds up the zone, this instance included, and tells the others. */
+  /** Aggregates the zone, including this instance, and sends the result to the other zones. */
   private void collect(Account own, Instant now) {
     String self = membership.self().process();
-    if (isAnother(self)) {
-      // Those that start later learn from here what the collector before had been told.
-      untold.add(participant.allSeen(), now);
+    if (changeCollector(self)) {
+      // Instances that start later need the sessions that the previous collector had received.
+      pendingSessions.add(participant.allSeen(), now);
     }
-    accounts.told(self, own, now);
-    UntoldSessions.Sent added = untold.sent(now);
-    sessions.add(added.sessions(), true, now);
-    untold.told(added);
-    Duration refresh = own.isIdle() ? IDLE_REFRESH : LEAST_PAUSE;
-    if (Duration.between(toldAt, now).compareTo(refresh) >= 0) {
-      told = own;
-      toldAt = now;
-      participant.heard(accounts.ofOthers(self, now));
+    aggregator.putInstance(self, own, now);
+    PendingSessions.Batch batch = pendingSessions.nextBatch(now);
+    sessions.add(batch.sessions(), true, now);
+    pendingSessions.acknowledge(batch);
+    Duration refresh = own.isIdle() ? IDLE_REFRESH : MINIMUM_INTERVAL;
+    if (Duration.between(reportedAt, now).compareTo(refresh) >= 0) {
+      lastReport = own;
+      reportedAt = now;
+      participant.heard(aggregator.sumExcept(self, now));
     }
-    SessionLog.Part part = sessions.after(readUpTo, now);
-    readUpTo = part.upTo();
-    participant.heardSessions(part.sessions());
-    tellZones(now);
+    SessionLog.Batch unread = sessions.after(readUpTo, now);
+    readUpTo = unread.upTo();
+    participant.heardSessions(unread.sessions());
+    replicateToZones(now);
     pushRefuted(now);
     pushCrashes();
   }
 
-  /** Tells all of the zone at once when more is held against a request that is not clear. */
+  /** Sends new crashes to the whole zone at once if they concern a suspected request. */
   private void pushCrashes() {
-    if (ledger.suspectsRevision() <= pushedCrashes) {
+    if (ledger.suspectsRevision() <= pushedCrashRevision) {
       return;
     }
-    CrashNews news = ledger.after(pushedCrashes);
-    pushedCrashes = ledger.revision();
+    CrashNews changes = ledger.after(pushedCrashRevision);
+    pushedCrashRevision = ledger.revision();
     for (Member peer : membership.zonePeers()) {
       network
-          .ask(peer, new PeerMessage.Crashes(news), PATIENCE)
+          .ask(peer, new PeerMessage.Crashes(changes), TIMEOUT)
           .subscribe()
-          .with(answer -> {}, failure -> lost(peer, failure));
+          .with(response -> {}, failure -> sendFailed(peer, failure));
     }
   }
 
-  private void tellZones(Instant now) {
-    Account own = accounts.ofZone(now);
+  private void replicateToZones(Instant now) {
+    Account own = aggregator.sumOfZone(now);
     for (Member peer : collectors.ofOtherZones()) {
-      zones.newsFor(peer, own, crashes.isBehind(peer), now).ifPresent(news -> tellZone(peer, news));
+      zoneReplication
+          .updateFor(peer, own, crashes.isBehind(peer), now)
+          .ifPresent(update -> replicateToZone(peer, update));
     }
   }
 
-  private void tellZone(Member peer, ToldZones.News news) {
-    CrashNews ends = crashes.newsFor(peer);
+  private void replicateToZone(Member peer, ZoneReplication.Update update) {
+    CrashNews crashChanges = crashes.changesFor(peer);
     PeerMessage message =
-        new PeerMessage.ZoneAccount(membership.self().zone(), news.account(), news.seen(), ends);
+        new PeerMessage.ZoneAccount(
+            membership.self().zone(), update.report(), update.sessions(), crashChanges);
     network
-        .ask(peer, message, PATIENCE)
+        .ask(peer, message, TIMEOUT)
         .subscribe()
         .with(
-            answer -> {
-              collectors.answered(peer);
-              if (answer instanceof PeerMessage.Done) {
-                crashes.confirmed(peer, ends);
+            response -> {
+              collectors.responded(peer);
+              if (response instanceof PeerMessage.Done) {
+                crashes.acknowledged(peer, crashChanges);
               }
             },
             failure -> {
-              lost(peer, failure);
-              zones.lost(peer, clock.instant());
+              sendFailed(peer, failure);
+              zoneReplication.lost(peer, clock.instant());
             });
   }
 
-  /** Tells all of the zone at once when one more version is known to be bad. */
+  /** Sends the aggregate to the whole zone at once when another version is refuted. */
   private void pushRefuted(Instant now) {
-    long refuted = accounts.ofOthers("", now).refuted();
+    long refuted = aggregator.sumExcept("", now).refuted();
     if (refuted > pushedRefuted) {
       for (Member peer : membership.zonePeers()) {
-        Account others = accounts.ofOthers(peer.process(), now);
+        Account others = aggregator.sumExcept(peer.process(), now);
         network
-            .ask(peer, pushOf(others), PATIENCE)
+            .ask(peer, pushOf(others), TIMEOUT)
             .subscribe()
-            .with(answer -> {}, failure -> lost(peer, failure));
+            .with(response -> {}, failure -> sendFailed(peer, failure));
       }
     }
     pushedRefuted = refuted;
@@ -309,22 +315,25 @@
     return new PeerMessage.FleetAccount(others, List.of(), 0, isInformed(), CrashNews.NONE);
   }
 
-  /** Answers an instance of the zone, another zone's collector, or the push of the own one. */
+  /**
+   * Handles the report of an instance of the zone or of another zone's collector, or a push of the
+   * own collector.
+   */
   public PeerMessage handle(Member from, PeerMessage message) {
-    if (message instanceof PeerMessage.Crashes told && told.news() != null) {
-      crashes.pushed(from, told.news());
+    if (message instanceof PeerMessage.Crashes pushed && pushed.news() != null) {
+      crashes.mergePushed(from, pushed.news());
       return new PeerMessage.Done();
     }
     if (message instanceof PeerMessage.InstanceAccount instance) {
-      return isSound(from, instance.account()) ? answer(from, instance) : refusal();
+      return isValid(from, instance.account()) ? acceptReport(from, instance) : rejection();
     }
     if (message instanceof PeerMessage.ZoneAccount zone) {
-      boolean isOther = zone.zone() != null && !zone.zone().equals(membership.self().zone());
-      return isOther && isSound(from, zone.account()) ? take(from, zone) : refusal();
+      boolean isOtherZone = zone.zone() != null && !zone.zone().equals(membership.self().zone());
+      return isOtherZone && isValid(from, zone.account()) ? acceptZone(from, zone) : rejection();
     }
     if (message instanceof PeerMessage.FleetAccount fleet) {
-      if (!isSound(from, fleet.others())) {
-        return refusal();
+      if (!isValid(from, fleet.others())) {
+        return rejection();
       }
       participant.heard(fleet.others());
       return new PeerMessage.Done();
@@ -332,55 +341,60 @@
     return new PeerMessage.Failed("unexpected message");
   }
 
-  private PeerMessage answer(Member from, PeerMessage.InstanceAccount instance) {
+  private PeerMessage acceptReport(Member from, PeerMessage.InstanceAccount instance) {
     Instant now = clock.instant();
-    accounts.told(from.process(), instance.account(), now);
+    aggregator.putInstance(from.process(), instance.account(), now);
     sessions.add(instance.seen(), true, now);
-    crashes.pushed(from, instance.crashes());
+    crashes.mergePushed(from, instance.crashes());
     if (instance.account().refuted() > pushedRefuted) {
-      tellZones(now);
+      replicateToZones(now);
       pushRefuted(now);
     }
-    SessionLog.Part part = sessions.after(instance.sessionsUpTo(), now);
-    Account others = accounts.ofOthers(from.process(), now);
+    SessionLog.Batch unread = sessions.after(instance.sessionsUpTo(), now);
+    Account others = aggregator.sumExcept(from.process(), now);
     return new PeerMessage.FleetAccount(
-        others, part.sessions(), part.upTo(), isInformed(), ledger.after(instance.crashesUpTo()));
+        others,
+        unread.sessions(),
+        unread.upTo(),
+        isInformed(),
+        ledger.after(instance.crashesUpTo()));
   }
 
-  private PeerMessage take(Member from, PeerMessage.ZoneAccount zone) {
+  private PeerMessage acceptZone(Member from, PeerMessage.ZoneAccount zone) {
     if (!from.zone().equals(membership.self().zone())) {
-      // One that the other zone could not reach is passed over there; its zone still asks it.
-      collectors.ofOwnZone().ifPresent(peer -> passOn(peer, zone));
+      // The other zone skips a collector that it cannot reach, but this zone still reports to it.
+      collectors.ofOwnZone().ifPresent(peer -> forward(peer, zone));
     }
     Instant now = clock.instant();
-    accounts.toldByZone(zone.zone(), zone.account(), now);
+    aggregator.putZone(zone.zone(), zone.account(), now);
     sessions.add(zone.seen(), false, now);
-    crashes.pushed(from, zone.crashes());
+    crashes.mergePushed(from, zone.crashes());
     if (zone.account().refuted() > pushedRefuted) {
       pushRefuted(now);
     }
     return new PeerMessage.Done();
   }
 
-  private void passOn(Member peer, PeerMessage.ZoneAccount zone) {
+  private void forward(Member peer, PeerMessage.ZoneAccount zone) {
     network
-        .ask(peer, zone, PATIENCE)
+        .ask(peer, zone, TIMEOUT)
         .subscribe()
-        .with(answer -> {}, failure -> lost(peer, failure));
+        .with(response -> {}, failure -> sendFailed(peer, failure));
   }
 
-  private boolean isSound(Member from, Account account) {
-    Optional<String> problem = account == null ? Optional.of("no account") : account.problem();
+  private boolean isValid(Member from, Account report) {
+    Optional<String> problem =
+        report == null ? Optional.of("the report is missing") : report.problem();
     problem.ifPresent(
-        text -> {
+        reason -> {
           meters.count("peer.account-refused");
-          logger.atWarning().atMostEvery(REFUSED_LINES_SECONDS, TimeUnit.SECONDS).log(
-              "an account of %s is refused: %s", from.name(), text);
+          logger.atWarning().atMostEvery(REJECTION_LOG_SECONDS, TimeUnit.SECONDS).log(
+              "rejected the report of %s: %s", from.name(), reason);
         });
     return problem.isEmpty();
   }
 
-  private static PeerMessage refusal() {
-    return new PeerMessage.Failed("the account is refused");
+  private static PeerMessage rejection() {
+    return new PeerMessage.Failed("the report is rejected");
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gather/Participant.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/Participant.java
@@ -5,24 +5,26 @@
 
 import java.util.List;
 
-/** An instance's own side of what is gathered. Used from one event loop. */
+/**
+ * Supplies the report of this instance and receives those of the others. Used from one event loop.
+ */
 public interface Participant {
 
-  /** Returns what this instance has open, sees and has measured. */
+  /** Returns the report of this instance. */
   Account own();
 
-  /** Returns sessions that others have to know of, those seen here since the last call. */
+  /** Returns the sessions to replicate that this instance observed since the last call. */
   List<SeenSession> newlySeen();
 
-  /** Returns all such sessions seen here that count still. */
+  /** Returns all unexpired sessions that this instance observed. */
   List<SeenSession> seenHere();
 
-  /** Returns all such sessions that count still, those that others told of included. */
+  /** Returns all unexpired sessions, including those replicated from other instances. */
   List<SeenSession> allSeen();
 
-  /** Takes in the account of all other instances. */
+  /** Applies the aggregated report of all other instances. */
   void heard(Account others);
 
-  /** Takes in sessions that others have seen. */
+  /** Applies sessions that other instances observed. */
   void heardSessions(List<SeenSession> sessions);
 }
--- /dev/null
+++ b/org.oatlug/src/org/oatlug/internal/gather/ReportAggregator.java
@@ -0,0 +1,88 @@
+// Copyright (c) 2026, the oatlug authors
+// SPDX-License-Identifier: BSD-3-Clause
+
+package org.oatlug.internal.gather;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.oatlug.internal.engine.OpenReading;
+import org.oatlug.internal.util.BoundedMap;
+
+/**
+ * Aggregates, at a collector, the reports of the instances of its availability zone and of the
+ * other zones.
+ *
+ * <p>Load pattern: the report of every instance changes several times a second, and each instance
+ * needs the sum of all others. Sent from each to each, the number of messages is quadratic in the
+ * number of instances; through collectors each instance sends and receives one. Invariants: an
+ * instance and a zone count once, with their latest report; if no further report arrives, its
+ * pending prompts count for {@link OpenReading#VALID} and its evidence for {@link #EVIDENCE_VALID}.
+ * Owned by one event loop, not thread-safe.
+ */
+final class ReportAggregator {
+  /** Bounds the instances of a zone at the design size and those replaced within a day. */
+  private static final int MAXIMUM_INSTANCES = 1024;
+
+  /** Several times the number of availability zones at the design size. */
+  private static final int MAXIMUM_ZONES = 64;
+
+  /** The interval of unchanged reports, short enough that pending prompts do not expire. */
+  static final Duration REFRESH_INTERVAL = OpenReading.VALID.dividedBy(4);
+
+  /** The time for which evidence of a stopped instance or a partitioned zone is retained. */
+  static final Duration EVIDENCE_VALID = Duration.ofSeconds(60);
+
+  private final Map<String, Received> instances = BoundedMap.ofMost(MAXIMUM_INSTANCES);
+  private final Map<String, Received> zones = BoundedMap.ofMost(MAXIMUM_ZONES);
+
+  private record Received(Account report, Instant receivedAt) {
+    Account asOf(Instant now) {
+      if (now.isAfter(receivedAt.plus(EVIDENCE_VALID))) {
+        return Account.EMPTY;
+      }
+      Account aged = report.aged(Duration.between(receivedAt, now));
+      return now.isAfter(receivedAt.plus(OpenReading.VALID)) ? aged.withoutPendingPrompts() : aged;
+    }
+  }
+
+  private ReportAggregator() {}
+
+  /** Returns an aggregator without reports. */
+  static ReportAggregator create() {
+    return new ReportAggregator();
+  }
+
+  /** Stores the report of an instance of the own zone; the process name includes its epoch. */
+  void putInstance(String process, Account report, Instant now) {
+    instances.merge(process, new Received(report, now), ReportAggregator::latest);
+  }
+
+  /** Stores the aggregated report of another zone. */
+  void putZone(String zone, Account report, Instant now) {
+    zones.merge(zone, new Received(report, now), ReportAggregator::latest);
+  }
+
+  private static Received latest(Received previous, Received current) {
+    return new Received(current.report().joinEarlier(previous.report()), current.receivedAt());
+  }
+
+  /** Returns the aggregate of the own zone. */
+  Account sumOfZone(Instant now) {
+    return Account.sumOf(instances.values().stream().map(received -> received.asOf(now)).toList());
+  }
+
+  /** Returns the aggregate of all zones without one process. */
+  Account sumExcept(String process, Instant now) {
+    List<Account> reports = new ArrayList<>();
+    for (Map.Entry<String, Received> entry : instances.entrySet()) {
+      if (!entry.getKey().equals(process)) {
+        reports.add(entry.getValue().asOf(now));
+      }
+    }
+    zones.values().forEach(received -> reports.add(received.asOf(now)));
+    return Account.sumOf(reports);
+  }
+}
--- a/org.oatlug/src/org/oatlug/internal/gather/SeenSession.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/SeenSession.java
@@ -7,33 +7,33 @@
 import java.time.Instant;
 
 /**
- * A session of a service, and where it was seen last. Immutable, thread-safe.
+ * Records the version that last answered a session of a service. Immutable, thread-safe.
  *
- * <p>Ages are told and not times of day, which differ between instances.
+ * <p>Messages carry ages instead of instants, because the clocks of instances differ.
  *
  * @param service the service
- * @param session the number of the session
- * @param version the version of the service that answered it
- * @param ageMillis how long ago that was, in milliseconds
+ * @param session the session number
+ * @param version the version of the service that answered the session
+ * @param ageMillis the time since that answer, in milliseconds
  */
 public record SeenSession(String service, long session, String version, long ageMillis) {
-  /** More than any session pauses: a day, in milliseconds. */
-  private static final long MOST_AGE_MILLIS = 86_400_000L;
+  /** One day in milliseconds, which exceeds the pause of any session. */
+  private static final long MAXIMUM_AGE_MILLIS = 86_400_000L;
 
-  /** Returns a session that was seen at the instant. */
+  /** Returns the record of a session that was observed at {@code seenAt}. */
   public static SeenSession at(
       String service, long session, String version, Instant seenAt, Instant now) {
     long age = Math.max(0, Duration.between(seenAt, now).toMillis());
     return new SeenSession(service, session, version, age);
   }
 
-  /** Returns when it was seen, by the clock of whoever was told so now. */
+  /** Returns the instant of the observation by the clock of the receiver. */
   public Instant seenAt(Instant now) {
     return now.minusMillis(ageMillis);
   }
 
-  /** Returns whether it can be taken in. */
-  boolean isSound() {
-    return service != null && version != null && ageMillis >= 0 && ageMillis <= MOST_AGE_MILLIS;
+  /** Returns whether a record of a peer is valid. */
+  boolean isValid() {
+    return service != null && version != null && ageMillis >= 0 && ageMillis <= MAXIMUM_AGE_MILLIS;
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gather/SessionLog.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/SessionLog.java
@@ -14,22 +14,25 @@
 import java.util.TreeMap;
 
 /**
- * The sessions that a collector was told of, in the order in which it learned of them.
+ * Logs the sessions that a collector received, in the order of their arrival.
  *
- * <p>Who reads it goes on from where it stopped, so each session is told once to each reader, and
- * one who begins at 0 gets all. Invariants: numbers rise by one with each session, from 1; a
- * session stands in it once, as it was told last; the oldest are dropped first. Owned by one event
- * loop, not thread-safe.
+ * <p>A reader resumes after the last sequence number that it read, so each reader receives a
+ * session once, and a reader that starts at 0 receives all. Invariants: sequence numbers start at 1
+ * and increase by one with each session; a session has one entry, its latest; the oldest entries
+ * are evicted first. Owned by one event loop, not thread-safe.
  */
 final class SessionLog {
-  /** Sessions of {@link #VALID} at a zone of the design size, of which one in ten is told. */
-  private static final int MOST = 8192;
+  /**
+   * Bounds the sessions of one {@link #RETENTION} at a zone of the design size, one in ten of which
+   * is replicated.
+   */
+  private static final int MAXIMUM_ENTRIES = 8192;
 
-  /** The most that one answer carries; the rest follows with the next. */
-  private static final int MOST_READ = 512;
+  /** The maximum number of sessions per response; later responses carry the rest. */
+  private static final int MAXIMUM_READ = 512;
 
-  /** A session that goes on is told anew long before this. */
-  private static final Duration VALID = Duration.ofSeconds(30);
+  /** The time after which an entry expires; an active session is reported again well before. */
+  private static final Duration RETENTION = Duration.ofSeconds(30);
 
   private final NavigableMap<Long, Entry> entries = new TreeMap<>();
   private final Map<Key, Long> numbers = new HashMap<>();
@@ -44,12 +47,12 @@
   }
 
   /**
-   * What was read.
+   * Holds the sessions of one read.
    *
    * @param sessions the sessions
-   * @param upTo the number from which to go on
+   * @param upTo the sequence number after which the next read starts
    */
-  record Part(List<SeenSession> sessions, long upTo) {}
+  record Batch(List<SeenSession> sessions, long upTo) {}
 
   private SessionLog() {}
 
@@ -58,33 +61,36 @@
     return new SessionLog();
   }
 
-  /** Adds sessions that an instance of the own zone, or another zone, told of. */
+  /** Adds sessions that an instance of the own zone, or another zone, reported. */
   void add(List<SeenSession> sessions, boolean ofOwnZone, Instant now) {
     for (SeenSession session : sessions) {
-      if (session.isSound()) {
+      if (session.isValid()) {
         add(session, ofOwnZone, now);
       }
     }
-    dropOld(now);
+    evict(now);
   }
 
   private void add(SeenSession session, boolean ofOwnZone, Instant now) {
     Key key = new Key(session.service(), session.session());
-    Entry told = new Entry(key, session.version(), session.seenAt(now), ofOwnZone);
-    Optional<Long> known = Optional.ofNullable(numbers.get(key));
-    if (known.map(entries::get).filter(one -> one.seenAt().isAfter(told.seenAt())).isPresent()) {
+    Entry entry = new Entry(key, session.version(), session.seenAt(now), ofOwnZone);
+    Optional<Long> previous = Optional.ofNullable(numbers.get(key));
+    if (previous
+        .map(entries::get)
+        .filter(logged -> logged.seenAt().isAfter(entry.seenAt()))
+        .isPresent()) {
       return;
     }
-    known.ifPresent(entries::remove);
-    entries.put(++last, told);
+    previous.ifPresent(entries::remove);
+    entries.put(++last, entry);
     numbers.put(key, last);
   }
 
-  private void dropOld(Instant now) {
-    Instant least = now.minus(VALID);
+  private void evict(Instant now) {
+    Instant earliest = now.minus(RETENTION);
     while (!entries.isEmpty()) {
       Entry oldest = entries.firstEntry().getValue();
-      if (entries.size() <= MOST && !oldest.seenAt().isBefore(least)) {
+      if (entries.size() <= MAXIMUM_ENTRIES && !oldest.seenAt().isBefore(earliest)) {
         return;
       }
       entries.pollFirstEntry();
@@ -92,33 +98,33 @@
     }
   }
 
-  /** Returns the number of the session that was told last. */
+  /** Returns the sequence number of the latest entry. */
   long last() {
     return last;
   }
 
-  /** Returns the sessions after a number. */
-  Part after(long number, Instant now) {
+  /** Returns the sessions after a sequence number. */
+  Batch after(long number, Instant now) {
     return read(number, false, now);
   }
 
-  /** Returns the sessions after a number that the own zone told of. */
-  Part ofOwnZoneAfter(long number, Instant now) {
+  /** Returns the sessions after a sequence number that the own zone reported. */
+  Batch ofOwnZoneAfter(long number, Instant now) {
     return read(number, true, now);
   }
 
-  private Part read(long number, boolean ofOwnZoneOnly, Instant now) {
-    List<SeenSession> found = new ArrayList<>();
+  private Batch read(long number, boolean ofOwnZoneOnly, Instant now) {
+    List<SeenSession> sessions = new ArrayList<>();
     long upTo = Math.min(number, last);
-    for (Map.Entry<Long, Entry> one : entries.tailMap(number, false).entrySet()) {
-      if (found.size() >= MOST_READ) {
+    for (Map.Entry<Long, Entry> entry : entries.tailMap(number, false).entrySet()) {
+      if (sessions.size() >= MAXIMUM_READ) {
         break;
       }
-      upTo = one.getKey();
-      if (one.getValue().ofOwnZone() || !ofOwnZoneOnly) {
-        found.add(one.getValue().asOf(now));
+      upTo = entry.getKey();
+      if (entry.getValue().ofOwnZone() || !ofOwnZoneOnly) {
+        sessions.add(entry.getValue().asOf(now));
       }
     }
-    return new Part(found, upTo);
+    return new Batch(sessions, upTo);
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gather/ZoneCollectors.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/ZoneCollectors.java
@@ -17,21 +17,21 @@
 import org.oatlug.internal.util.Hashes;
 
 /**
- * Which instance collects for each availability zone: the first by rendezvous rank that is alive
- * and answers this instance.
+ * Selects the collector of each availability zone: the first instance by rendezvous rank that is
+ * alive and responds to this instance.
  *
- * <p>Invariant: one that did not answer is passed over for {@link #DOUBT}, long before it is
- * declared dead; who tells another collector loses nothing, because each message holds the whole
- * account. Owned by one event loop, not thread-safe.
+ * <p>Invariant: an instance that did not respond is skipped for {@link #EXCLUSION}, long before it
+ * is declared dead; reporting to another collector loses nothing, because each message carries the
+ * whole report. Owned by one event loop, not thread-safe.
  */
 final class ZoneCollectors {
-  /** How long a collector that did not answer is passed over: as long as a suspicion lasts. */
-  private static final Duration DOUBT = Duration.ofSeconds(2);
+  /** The time for which an unresponsive collector is skipped: the length of a suspicion. */
+  private static final Duration EXCLUSION = Duration.ofSeconds(2);
 
   private final Membership membership;
   private final InstantSource clock;
-  private final Map<String, Instant> doubtedUntil = new HashMap<>();
-  private List<Member> rankedFrom = List.of();
+  private final Map<String, Instant> excludedUntil = new HashMap<>();
+  private List<Member> rankedMembers = List.of();
   private Map<String, List<Member>> ranked = Map.of();
 
   private ZoneCollectors(Membership membership, InstantSource clock) {
@@ -39,54 +39,54 @@
     this.clock = clock;
   }
 
-  /** Returns the collectors as the membership shows them. */
+  /** Returns the collectors for the live members. */
   static ZoneCollectors of(Membership membership, InstantSource clock) {
     return new ZoneCollectors(membership, clock);
   }
 
-  /** Returns the collector of the own zone, empty if it is this instance. */
+  /** Returns the collector of the own zone, empty if this instance is the collector. */
   Optional<Member> ofOwnZone() {
     String zone = membership.self().zone();
-    return first(ranks().getOrDefault(zone, List.of()))
+    return select(rankedByZone().getOrDefault(zone, List.of()))
         .filter(member -> !membership.isSelf(member));
   }
 
   /** Returns the collectors of the other zones. */
   List<Member> ofOtherZones() {
     String own = membership.self().zone();
-    return ranks().entrySet().stream()
+    return rankedByZone().entrySet().stream()
         .filter(zone -> !zone.getKey().equals(own))
-        .flatMap(zone -> first(zone.getValue()).stream())
+        .flatMap(zone -> select(zone.getValue()).stream())
         .toList();
   }
 
-  /** Notes that an instance did not answer. */
+  /** Records that an instance did not respond. */
   void failed(Member member) {
-    doubtedUntil.put(member.name(), clock.instant().plus(DOUBT));
+    excludedUntil.put(member.name(), clock.instant().plus(EXCLUSION));
   }
 
-  /** Notes that an instance answered. */
-  void answered(Member member) {
-    doubtedUntil.remove(member.name());
+  /** Records that an instance responded. */
+  void responded(Member member) {
+    excludedUntil.remove(member.name());
   }
 
-  private Optional<Member> first(List<Member> candidates) {
+  private Optional<Member> select(List<Member> candidates) {
     Instant now = clock.instant();
     return candidates.stream()
-        .filter(member -> !isDoubted(member, now))
+        .filter(member -> !isExcluded(member, now))
         .findFirst()
         .or(() -> candidates.stream().findFirst());
   }
 
-  private boolean isDoubted(Member member, Instant now) {
-    return now.isBefore(doubtedUntil.getOrDefault(member.name(), Instant.EPOCH));
+  private boolean isExcluded(Member member, Instant now) {
+    return now.isBefore(excludedUntil.getOrDefault(member.name(), Instant.EPOCH));
   }
 
-  /** Returns the candidates of each zone by rank, worked out when the members change. */
-  private Map<String, List<Member>> ranks() {
+  /** Returns the ranked candidates of each zone, computed anew when the members change. */
+  private Map<String, List<Member>> rankedByZone() {
     List<Member> live = membership.live();
-    if (live != rankedFrom) {
-      rankedFrom = live;
+    if (live != rankedMembers) {
+      rankedMembers = live;
       Map<String, Map<String, Member>> byZone = new TreeMap<>();
       for (Member member : live) {
         if (member.state() == Member.State.ALIVE || membership.isSelf(member)) {
@@ -97,9 +97,9 @@
       }
       ranked = new TreeMap<>();
       byZone.forEach((zone, members) -> ranked.put(zone, rank(zone, members)));
-      doubtedUntil
+      excludedUntil
           .keySet()
-          .removeIf(name -> live.stream().noneMatch(one -> one.name().equals(name)));
+          .removeIf(name -> live.stream().noneMatch(member -> member.name().equals(name)));
     }
     return ranked;
   }
--- a/org.oatlug/src/org/oatlug/internal/gather/package-info.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/package-info.java
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: BSD-3-Clause
 
 /**
- * How instances tell each other what each of them sees: through a collector in each availability
- * zone, which adds up its zone and tells the collectors of the others.
+ * Exchanges state reports between instances through a collector in each availability zone, which
+ * aggregates its zone and replicates the result to the collectors of the other zones.
  */
 package org.oatlug.internal.gather;
