--- a/org.oatlug.test/tst/org/oatlug/test/MembershipTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/MembershipTest.java
@@ -26,14 +26,14 @@
 import org.oatlug.internal.peer.PeerMessage;
 import org.oatlug.internal.peer.PeerNetwork;
 
-/** Shows who is taken to be live: under any order of news, silence, pauses and cuts. */
+/** Verifies failure detection under reordered records, crashes, pauses and partitions. */
 class MembershipTest {
   private static final String SEED = "20261202";
   private static final Duration TICK = Duration.ofMillis(100);
 
   private final FakeClock clock = new FakeClock();
   private final Map<String, Membership> running = new TreeMap<>();
-  private final Set<String> silent = new HashSet<>();
+  private final Set<String> stopped = new HashSet<>();
 
   private static Member member(String name, String zone, long epoch) {
     return new Member(name, zone, "rack-" + name, "127.0.0.1", 1, epoch, 0, Member.State.ALIVE);
@@ -47,11 +47,11 @@
     return membership;
   }
 
-  /** Delivers at once; whoever is silent neither asks nor answers. */
+  /** Delivers immediately; a stopped instance neither sends nor receives. */
   private PeerNetwork networkOf(String from) {
-    return (peer, message, patience) -> {
+    return (peer, message, timeout) -> {
       Membership target = running.get(peer.name());
-      if (target == null || silent.contains(peer.name()) || silent.contains(from)) {
+      if (target == null || stopped.contains(peer.name()) || stopped.contains(from)) {
         return Uni.createFrom().failure(new PeerUnavailableException(peer.name()));
       }
       return target.handle(running.get(from).self(), message);
@@ -71,7 +71,7 @@
       clock.advance(TICK);
       running.forEach(
           (name, membership) -> {
-            if (!silent.contains(name)) {
+            if (!stopped.contains(name)) {
               membership.tick();
             }
           });
@@ -87,63 +87,63 @@
   }
 
   @Property(seed = SEED)
-  void testNewsInAnyOrderEndAtTheSameRecord(@ForAll Random random) {
-    List<Member> news = new ArrayList<>();
+  void testRecordsMergeToSameResultInAnyOrder(@ForAll Random random) {
+    List<Member> records = new ArrayList<>();
     for (int number = 0; number < 12; number++) {
       Member.State[] states = Member.State.values();
       Member record = member("x", "hall-a", 1 + random.nextInt(3));
       for (int times = random.nextInt(3); times > 0; times--) {
         record = record.refuting(record.incarnation(), Member.State.ALIVE);
       }
-      news.add(record.withState(states[random.nextInt(states.length)]));
+      records.add(record.withState(states[random.nextInt(states.length)]));
     }
-    Member first = lastOf(news);
-    Collections.shuffle(news, random);
-    assertEquals(lastOf(news), first);
+    Member first = mergedRecord(records);
+    Collections.shuffle(records, random);
+    assertEquals(mergedRecord(records), first);
   }
 
-  private Member lastOf(List<Member> news) {
+  private Member mergedRecord(List<Member> records) {
     Membership membership = Membership.create(member("me", "hall-a", 1), clock, new Random(1));
-    news.forEach(membership::merge);
+    records.forEach(membership::merge);
     return membership.all().stream()
         .filter(member -> member.name().equals("x"))
         .findFirst()
         .orElseThrow();
   }
 
-  /** A silent instance is suspected and then dead; its process is gone, its duties move on. */
+  /** A stopped instance is suspected and declared dead; its resources get another owner. */
   @Example
-  void testSilentInstanceIsDeclaredDead() {
+  void testStoppedInstanceIsDeclaredDead() {
     startThree();
     run(20);
     assertEquals(stateAt("a", "c"), Member.State.ALIVE);
-    silent.add("c");
+    stopped.add("c");
     run(80);
     assertEquals(stateAt("a", "c"), Member.State.DEAD);
     assertEquals(stateAt("b", "c"), Member.State.DEAD);
     assertTrue(running.get("a").isGone("c@1"));
-    for (String duty : List.of("one", "two", "three", "four")) {
-      String owner = running.get("a").ownerOf(duty).orElseThrow().name();
-      assertEquals(running.get("b").ownerOf(duty).orElseThrow().name(), owner);
+    for (String resource : List.of("one", "two", "three", "four")) {
+      String owner = running.get("a").ownerOf(resource).orElseThrow().name();
+      assertEquals(running.get("b").ownerOf(resource).orElseThrow().name(), owner);
       assertFalse(owner.equals("c"));
     }
   }
 
-  /** A frozen instance that wakes contradicts its death. */
+  /** A paused instance that resumes refutes its death. */
   @Example
-  void testWokenInstanceContradictsItsDeath() {
+  void testResumedInstanceRefutesItsDeath() {
     startThree();
-    silent.add("c");
+    stopped.add("c");
     run(80);
-    silent.remove("c");
+    stopped.remove("c");
     run(60);
     assertEquals(stateAt("a", "c"), Member.State.ALIVE);
     assertEquals(stateAt("b", "c"), Member.State.ALIVE);
   }
 
-  /** A restarted process replaces the old one, whose records change nothing any more. */
+  /** A restarted process replaces the old one, whose records are then ignored. */
   @Example
-  void testRestartedProcessReplacesTheOld() {
+  void testRestartedProcessReplacesOldOne() {
     startThree();
     Member old = running.get("c").self();
     start("c", "hall-a", 2).merge(running.get("a").self());
@@ -154,13 +154,13 @@
     assertFalse(running.get("a").isGone("c@2"));
   }
 
-  /** Of another zone nobody is declared dead; a silent one is lost to those who ask for it. */
+  /** An unresponsive instance of another zone counts as lost but is not declared dead. */
   @Example
-  void testSilentZoneIsLostAndNotDead() {
+  void testUnresponsiveRemoteInstanceIsLostAndNotDead() {
     startThree();
-    Membership far = start("far", "hall-b", 1);
-    running.get("a").merge(far.self());
-    silent.add("far");
+    Membership remote = start("far", "hall-b", 1);
+    running.get("a").merge(remote.self());
+    stopped.add("far");
     for (int second = 0; second < 15; second++) {
       running.get("a").isLost("far@1");
       run(10);
@@ -170,14 +170,14 @@
     assertEquals(stateAt("a", "far"), Member.State.ALIVE);
   }
 
-  /** Two instances of a zone are readers, and all agree which. */
+  /** Two instances of a zone are readers, and all instances agree on them. */
   @Example
-  void testTwoReadersThatAllAgreeOn() {
+  void testInstancesAgreeOnTwoReaders() {
     startThree();
     long readers = running.values().stream().filter(Membership::isReader).count();
     assertEquals(readers, 2L);
     Membership follower =
-        running.values().stream().filter(one -> !one.isReader()).findFirst().orElseThrow();
+        running.values().stream().filter(member -> !member.isReader()).findFirst().orElseThrow();
     String parent = follower.parent().orElseThrow().name();
     assertTrue(running.get(parent).isReader());
     assertTrue(
--- a/org.oatlug/src/org/oatlug/internal/gather/GatherSystem.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/GatherSystem.java
@@ -320,8 +320,8 @@
    * own collector.
    */
   public PeerMessage handle(Member from, PeerMessage message) {
-    if (message instanceof PeerMessage.Crashes pushed && pushed.news() != null) {
-      crashes.mergePushed(from, pushed.news());
+    if (message instanceof PeerMessage.Crashes pushed && pushed.changes() != null) {
+      crashes.mergePushed(from, pushed.changes());
       return new PeerMessage.Done();
     }
     if (message instanceof PeerMessage.InstanceAccount instance) {
--- a/org.oatlug/src/org/oatlug/internal/membership/MemberView.java
+++ b/org.oatlug/src/org/oatlug/internal/membership/MemberView.java
@@ -9,27 +9,28 @@
 import org.oatlug.internal.util.Hashes;
 
 /**
- * The live instances as one instance sees them, sorted out by availability zone. Immutable,
+ * Groups the live instances, as one instance sees them, by availability zone. Immutable,
  * thread-safe.
  *
- * <p>Drawn once for each change of the members, because each tick asks for it and a rank takes
- * several hashes of names.
+ * <p>Computed once for each change of the members, because every tick uses it and ranking takes
+ * several hashes per name.
  *
- * @param live all that are believed to live, the own one included
- * @param zonePeers the others of the own zone
- * @param remotePeers those of other zones
- * @param readerRank the names of the own zone's instances, the one that reads the store first
+ * @param live the instances that are not known to be dead, including the own one
+ * @param zonePeers the other instances of the own zone
+ * @param remotePeers the instances of other zones
+ * @param readerRank the names of the instances of the own zone in rendezvous order; the first ones
+ *     read the store
  */
 record MemberView(
     List<Member> live, List<Member> zonePeers, List<Member> remotePeers, List<String> readerRank) {
 
-  /** Returns the view that the instance has of the members. */
+  /** Returns the view of an instance on the members. */
   static MemberView of(Member self, Collection<Member> members) {
     List<Member> live =
         members.stream().filter(member -> member.state() != Member.State.DEAD).toList();
     List<Member> ownZone =
         live.stream().filter(member -> member.zone().equals(self.zone())).toList();
-    List<String> staying =
+    List<String> eligibleReaders =
         ownZone.stream()
             .filter(member -> member.state() != Member.State.LEAVING)
             .map(Member::name)
@@ -38,6 +39,6 @@
         live,
         ownZone.stream().filter(member -> !member.name().equals(self.name())).toList(),
         live.stream().filter(member -> !member.zone().equals(self.zone())).toList(),
-        Hashes.rendezvous("reader-" + self.zone(), staying));
+        Hashes.rendezvous("reader-" + self.zone(), eligibleReaders));
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/membership/Membership.java
+++ b/org.oatlug/src/org/oatlug/internal/membership/Membership.java
@@ -25,43 +25,44 @@
 import org.oatlug.platform.Platform;
 
 /**
- * Which entry instances are live.
+ * Detects which entry instances are live.
  *
- * <p>Instances of one availability zone probe each other, directly and then through others, and
- * suspect before they declare dead. Instances of other zones are never declared dead from here,
- * because a cut looks the same; they are only remembered as unreachable for a while. Records join
- * by epoch, incarnation and state, so late news change nothing. An instance that hears that it is
- * suspected contradicts. Owned by one event loop, not thread-safe.
+ * <p>Instances of one availability zone probe each other, first directly and then through helpers,
+ * and suspect an instance before they declare it dead. Instances of other zones are never declared
+ * dead, because a network partition looks the same; they only count as unreachable for a while.
+ * Records are merged by epoch, incarnation and state, so outdated records have no effect. An
+ * instance that receives a suspicion of itself refutes it. Owned by one event loop, not
+ * thread-safe.
  */
 public final class Membership {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final Duration PROBE_INTERVAL = Duration.ofMillis(500);
-  private static final Duration PROBE_PATIENCE = Duration.ofMillis(400);
+  private static final Duration PROBE_TIMEOUT = Duration.ofMillis(400);
 
-  /** How often a seed is asked while no other instance is known. */
+  /** The interval of probes to seeds while no other instance is known. */
   private static final Duration SEED_INTERVAL_ALONE = Duration.ofMillis(200);
 
-  /** How often a seed is asked otherwise, so that parts that lost each other meet again. */
+  /** The interval of probes to seeds otherwise, which rejoin separated groups of instances. */
   private static final Duration SEED_INTERVAL = Duration.ofSeconds(5);
 
-  private static final Duration SUSPICION = Duration.ofMillis(2000);
+  private static final Duration SUSPICION_TIMEOUT = Duration.ofMillis(2000);
   private static final Duration UNREACHABLE_FOR = Duration.ofSeconds(3);
   private static final Duration WATCHED_FOR = Duration.ofSeconds(5);
   private static final Duration LOST_AFTER = Duration.ofSeconds(8);
-  private static final int HELPERS = 2;
-  private static final int NEWS_REPEATS = 8;
-  private static final int NEWS_PER_MESSAGE = 8;
+  private static final int MAXIMUM_HELPERS = 2;
+  private static final int SENDS_PER_UPDATE = 8;
+  private static final int UPDATES_PER_MESSAGE = 8;
   private static final int READERS = 2;
-  private static final int PARENT_WIDTH = 4;
+  private static final int CHILDREN_PER_PARENT = 4;
 
   private final InstantSource clock;
   private final RandomGenerator random;
   private final Map<String, Member> members = new TreeMap<>();
   private final Map<String, Instant> suspectedSince = new HashMap<>();
   private final Map<String, Instant> unreachableUntil = new HashMap<>();
-  private final Map<String, Instant> silentSince = new HashMap<>();
-  private final Map<String, Instant> watched = new HashMap<>();
-  private final Map<String, Integer> news = new HashMap<>();
+  private final Map<String, Instant> unresponsiveSince = new HashMap<>();
+  private final Map<String, Instant> watchedUntil = new HashMap<>();
+  private final Map<String, Integer> remainingSends = new HashMap<>();
   private final List<String> probeOrder = new ArrayList<>();
   private final List<Settings.Address> seeds = new ArrayList<>();
   private Member self;
@@ -86,7 +87,7 @@
     return new Membership(self, clock, random);
   }
 
-  /** Sets the way to the other instances; called once, before the first tick. */
+  /** Sets the network to the other instances; called once, before the first tick. */
   public void connect(PeerNetwork peers) {
     network = peers;
   }
@@ -96,22 +97,22 @@
     return self;
   }
 
-  /** Returns whether the record is of this instance. */
+  /** Returns whether the record describes this instance. */
   public boolean isSelf(Member member) {
     return member.name().equals(self.name());
   }
 
-  /** Takes in instances that were listed; a list lags and never declares anybody dead. */
+  /** Adds listed instances that are unknown; the list may be outdated and proves no death. */
   public void listed(List<Platform.ListedInstance> instances) {
-    for (Platform.ListedInstance one : instances) {
-      if (!members.containsKey(one.name())) {
+    for (Platform.ListedInstance instance : instances) {
+      if (!members.containsKey(instance.name())) {
         merge(
             new Member(
-                one.name(),
-                one.zone(),
-                one.rack(),
-                one.host(),
-                one.peerPort(),
+                instance.name(),
+                instance.zone(),
+                instance.rack(),
+                instance.host(),
+                instance.peerPort(),
                 0,
                 0,
                 Member.State.ALIVE));
@@ -119,18 +120,18 @@
     }
   }
 
-  /** Sets addresses at which other instances are looked for while few of them are known. */
+  /** Sets the seed addresses at which other instances are probed. */
   public void seeds(List<Settings.Address> addresses) {
     seeds.clear();
     seeds.addAll(addresses);
   }
 
-  /** Returns whether other instances are known, if only by an address. */
+  /** Returns whether any other instance is known, by its record or only by a seed address. */
   public boolean knowsOfOthers() {
     return live().size() > 1 || seeds.stream().anyMatch(seed -> !isOwn(seed));
   }
 
-  /** Returns the other instances that can be asked: live ones, and those known by address alone. */
+  /** Returns the other instances with an address: the live ones and unknown seeds. */
   public List<Member> addressedPeers() {
     List<Member> peers = new ArrayList<>(live());
     peers.removeIf(this::isSelf);
@@ -145,7 +146,7 @@
     return peers;
   }
 
-  /** Returns a record of an instance whose name is not known before it answers. */
+  /** Returns a record of a seed, whose name is unknown until it responds. */
   private static Member seedAt(Settings.Address address) {
     return new Member(
         address.toString(), "", "", address.host(), address.port(), 0, 0, Member.State.ALIVE);
@@ -155,28 +156,28 @@
     return address.host().equals(self.host()) && address.port() == self.peerPort();
   }
 
-  /** Takes in a record of a member. */
-  public void merge(Member heard) {
-    if (heard.name().equals(self.name())) {
-      refute(heard);
+  /** Merges a received record of a member. */
+  public void merge(Member received) {
+    if (received.name().equals(self.name())) {
+      refute(received);
       return;
     }
-    Member known = members.get(heard.name());
-    if (known != null && !heard.supersedes(known)) {
+    Member known = members.get(received.name());
+    if (known != null && !received.supersedes(known)) {
       return;
     }
-    put(heard);
-    if (heard.state() == Member.State.SUSPECT) {
-      suspectedSince.putIfAbsent(heard.name(), clock.instant());
+    put(received);
+    if (received.state() == Member.State.SUSPECT) {
+      suspectedSince.putIfAbsent(received.name(), clock.instant());
     } else {
-      suspectedSince.remove(heard.name());
+      suspectedSince.remove(received.name());
     }
-    if (known == null || known.state() != heard.state()) {
-      logger.atInfo().log("instance %s is %s", heard.process(), heard.state());
+    if (known == null || known.state() != received.state()) {
+      logger.atInfo().log("instance %s is %s", received.process(), received.state());
     }
   }
 
-  /** Says to all that this instance is leaving. */
+  /** Announces that this instance is leaving. */
   public void leave() {
     self = self.withState(Member.State.LEAVING);
     put(self);
@@ -187,7 +188,7 @@
     return members.values();
   }
 
-  /** Returns the instances that are believed to live, this one included. */
+  /** Returns the instances that are not known to be dead, including this one. */
   public List<Member> live() {
     return view().live();
   }
@@ -202,10 +203,10 @@
     return view().remotePeers();
   }
 
-  /** Returns whether the process with this name and epoch is known to be gone. */
+  /** Returns whether the process, given as name and epoch, is known to be dead or replaced. */
   public boolean isGone(String process) {
-    int at = process.lastIndexOf('@');
-    Member known = members.get(process.substring(0, Math.max(at, 0)));
+    int separator = process.lastIndexOf('@');
+    Member known = members.get(process.substring(0, Math.max(separator, 0)));
     if (known == null) {
       return false;
     }
@@ -214,10 +215,10 @@
   }
 
   /**
-   * Returns whether the process is gone, or of another zone and did not answer for long.
+   * Returns whether the process is gone, or is in another zone and has been unresponsive for long.
    *
-   * <p>Asking makes this instance probe the process for a while. A process that is only cut off
-   * looks lost, too; what is done about a lost process must be right in both cases.
+   * <p>A call makes this instance probe the process for a while. A process behind a network
+   * partition counts as lost, too, so the handling of a lost process must be safe if it still runs.
    */
   public boolean isLost(String process) {
     if (isGone(process)) {
@@ -225,9 +226,9 @@
     }
     String name = process.substring(0, Math.max(process.lastIndexOf('@'), 0));
     Instant now = clock.instant();
-    watched.put(name, now.plus(WATCHED_FOR));
-    Instant since = silentSince.get(name);
-    return since != null && now.isAfter(since.plus(LOST_AFTER));
+    watchedUntil.put(name, now.plus(WATCHED_FOR));
+    Instant unresponsive = unresponsiveSince.get(name);
+    return unresponsive != null && now.isAfter(unresponsive.plus(LOST_AFTER));
   }
 
   /** Returns whether this instance is one of the readers of its availability zone. */
@@ -236,66 +237,67 @@
     return rank >= 0 && rank < READERS;
   }
 
-  /** Returns whether this instance is the first of the readers, whom the others stand beside. */
+  /** Returns whether this instance is the first reader; the other readers are its standbys. */
   public boolean isFirstReader() {
     return view().readerRank().indexOf(self.name()) == 0;
   }
 
   /**
-   * Returns those who may read in the place of this instance: the others of the zone that are not
-   * readers, by rank, from another one on for each of the readers.
+   * Returns the instances that may read in place of this one: the non-readers of the zone by rank,
+   * rotated by the rank of this instance so that each reader starts with a different one.
    */
   public List<Member> standInsForReader() {
     List<String> ranked = view().readerRank();
-    List<Member> others = new ArrayList<>(ranked.stream().skip(READERS).map(members::get).toList());
-    if (others.size() > 1) {
-      Collections.rotate(others, -(ranked.indexOf(self.name()) % others.size()));
+    List<Member> substitutes =
+        new ArrayList<>(ranked.stream().skip(READERS).map(members::get).toList());
+    if (substitutes.size() > 1) {
+      Collections.rotate(substitutes, -(ranked.indexOf(self.name()) % substitutes.size()));
     }
-    return others;
+    return substitutes;
   }
 
-  /** Returns the instance that is one step nearer to the readers, empty for a reader. */
+  /** Returns the parent in the distribution tree rooted at the readers, empty for a reader. */
   public Optional<Member> parent() {
     List<String> ranked = view().readerRank();
     int rank = ranked.indexOf(self.name());
     if (rank < READERS) {
       return Optional.empty();
     }
-    return Optional.of(members.get(ranked.get((rank - READERS) / PARENT_WIDTH)));
+    return Optional.of(members.get(ranked.get((rank - READERS) / CHILDREN_PER_PARENT)));
   }
 
-  /** Returns the reachable instance that comes first by rendezvous rank for a duty. */
-  public Optional<Member> ownerOf(String duty) {
+  /** Returns the reachable instance that is first by rendezvous rank for a resource. */
+  public Optional<Member> ownerOf(String resource) {
     List<String> names =
         live().stream()
             .filter(member -> member.state() == Member.State.ALIVE && member.epoch() > 0)
             .filter(this::isReachable)
             .map(Member::name)
             .toList();
-    return Hashes.rendezvous(duty, names).stream().findFirst().map(members::get);
+    return Hashes.rendezvous(resource, names).stream().findFirst().map(members::get);
   }
 
-  /** Remembers that an instance did not answer, so that no duty is looked for there. */
-  public void unreachable(Member member) {
+  /** Records that an instance did not respond, which excludes it as an owner for a while. */
+  public void markUnreachable(Member member) {
     unreachableUntil.put(member.name(), clock.instant().plus(UNREACHABLE_FOR));
-    silentSince.putIfAbsent(member.name(), clock.instant());
+    unresponsiveSince.putIfAbsent(member.name(), clock.instant());
   }
 
-  /** Returns whether the instance answered, or was not asked, lately. */
+  /** Returns whether the instance has not recently failed to respond. */
   public boolean isReachable(Member member) {
-    Instant until = unreachableUntil.getOrDefault(member.name(), Instant.EPOCH);
-    return !clock.instant().isBefore(until);
+    Instant excludedUntil = unreachableUntil.getOrDefault(member.name(), Instant.EPOCH);
+    return !clock.instant().isBefore(excludedUntil);
   }
 
-  /** Answers the probes of other instances. */
+  /** Responds to the probes of other instances. */
   public Uni<PeerMessage> handle(Member from, PeerMessage message) {
     merge(from);
     if (message instanceof PeerMessage.Ping ping) {
-      ping.news().forEach(this::merge);
-      return Uni.createFrom().item(new PeerMessage.Ack(newsFor(from)));
+      ping.updates().forEach(this::merge);
+      return Uni.createFrom().item(new PeerMessage.Ack(updatesFor(from)));
     }
     PeerMessage.PingFor request = (PeerMessage.PingFor) message;
-    request.news().forEach(this::merge);
+    request.updates().forEach(this::merge);
     Member target = members.get(request.target());
     if (target == null) {
       return Uni.createFrom().item(new PeerMessage.Failed("unknown instance"));
@@ -303,11 +305,11 @@
     return ping(target);
   }
 
-  /** Probes the next instance and ends suspicions that lasted too long. */
+  /** Probes the next instance and declares instances dead whose suspicion timed out. */
   public void tick() {
     Instant now = clock.instant();
-    endSuspicions(now);
-    askSeed(now);
+    expireSuspicions(now);
+    probeSeed(now);
     if (now.isBefore(nextProbe)) {
       return;
     }
@@ -317,8 +319,8 @@
     probeWatched(now);
   }
 
-  /** Asks a seed for members, whose names come with its answer; often until a member is known. */
-  private void askSeed(Instant now) {
+  /** Probes a seed, whose response carries members; more often until a member is known. */
+  private void probeSeed(Instant now) {
     if (seeds.isEmpty() || now.isBefore(nextSeed)) {
       return;
     }
@@ -330,26 +332,26 @@
     }
     Member seed = seedAt(address);
     network
-        .ask(seed, new PeerMessage.Ping(takeNews()), PROBE_PATIENCE)
+        .ask(seed, new PeerMessage.Ping(takeUpdates()), PROBE_TIMEOUT)
         .subscribe()
         .with(
-            answer -> answered(seed, answer),
-            failure -> logger.atFine().log("seed %s does not answer", address));
+            response -> handleResponse(seed, response),
+            failure -> logger.atFine().log("seed %s does not respond", address));
   }
 
   private void probeWatched(Instant now) {
-    watched.values().removeIf(until -> until.isBefore(now));
-    for (String name : watched.keySet()) {
+    watchedUntil.values().removeIf(until -> until.isBefore(now));
+    for (String name : watchedUntil.keySet()) {
       Member target = members.get(name);
       if (target != null && !target.zone().equals(self.zone())) {
-        ping(target).subscribe().with(answer -> {}, failure -> {});
+        ping(target).subscribe().with(response -> {}, failure -> {});
       }
     }
   }
 
-  private void endSuspicions(Instant now) {
+  private void expireSuspicions(Instant now) {
     for (Map.Entry<String, Instant> entry : Map.copyOf(suspectedSince).entrySet()) {
-      if (now.isAfter(entry.getValue().plus(SUSPICION))) {
+      if (now.isAfter(entry.getValue().plus(SUSPICION_TIMEOUT))) {
         merge(members.get(entry.getKey()).withState(Member.State.DEAD));
       }
     }
@@ -369,44 +371,46 @@
   private void probe(Member target) {
     ping(target)
         .onFailure()
-        .recoverWithUni(() -> probeThroughOthers(target))
+        .recoverWithUni(() -> probeThroughHelpers(target))
         .subscribe()
-        .with(answer -> {}, failure -> suspect(target));
+        .with(response -> {}, failure -> suspect(target));
   }
 
   private Uni<PeerMessage> ping(Member target) {
     return network
-        .ask(target, new PeerMessage.Ping(takeNews()), PROBE_PATIENCE)
-        .invoke(answer -> answered(target, answer))
+        .ask(target, new PeerMessage.Ping(takeUpdates()), PROBE_TIMEOUT)
+        .invoke(response -> handleResponse(target, response))
         .onFailure()
-        .invoke(unused -> unreachable(target));
+        .invoke(unused -> markUnreachable(target));
   }
 
-  private void answered(Member target, PeerMessage answer) {
+  private void handleResponse(Member target, PeerMessage response) {
     unreachableUntil.remove(target.name());
-    silentSince.remove(target.name());
-    if (answer instanceof PeerMessage.Ack ack) {
-      ack.news().forEach(this::merge);
+    unresponsiveSince.remove(target.name());
+    if (response instanceof PeerMessage.Ack ack) {
+      ack.updates().forEach(this::merge);
     }
   }
 
-  private Uni<PeerMessage> probeThroughOthers(Member target) {
+  private Uni<PeerMessage> probeThroughHelpers(Member target) {
     List<Member> helpers = new ArrayList<>(zonePeers());
     helpers.removeIf(helper -> helper.name().equals(target.name()));
-    Uni<PeerMessage> attempt = Uni.createFrom().failure(new IllegalStateException("no helper"));
-    for (int index = 0; index < HELPERS && !helpers.isEmpty(); index++) {
+    Uni<PeerMessage> attempt =
+        Uni.createFrom()
+            .failure(new IllegalStateException("no instance is available for an indirect probe"));
+    for (int index = 0; index < MAXIMUM_HELPERS && !helpers.isEmpty(); index++) {
       Member helper = helpers.remove(random.nextInt(helpers.size()));
-      PeerMessage question = new PeerMessage.PingFor(target.name(), takeNews());
-      Duration patience = PROBE_PATIENCE.multipliedBy(2);
-      attempt = attempt.onFailure().recoverWithUni(() -> network.ask(helper, question, patience));
+      PeerMessage request = new PeerMessage.PingFor(target.name(), takeUpdates());
+      Duration timeout = PROBE_TIMEOUT.multipliedBy(2);
+      attempt = attempt.onFailure().recoverWithUni(() -> network.ask(helper, request, timeout));
     }
     return attempt;
   }
 
   private void suspect(Member target) {
     Member known = members.get(target.name());
-    boolean newer = known.epoch() > target.epoch() || known.incarnation() > target.incarnation();
-    if (newer || known.state() != Member.State.ALIVE && known.state() != Member.State.LEAVING) {
+    boolean outdated = known.epoch() > target.epoch() || known.incarnation() > target.incarnation();
+    if (outdated || known.state() != Member.State.ALIVE && known.state() != Member.State.LEAVING) {
       return;
     }
     if (known.state() == Member.State.LEAVING) {
@@ -416,32 +420,32 @@
     merge(known.withState(Member.State.SUSPECT));
   }
 
-  /** Readers talk to one instance of another zone in turn, so that news crosses zones. */
+  /** As a reader, probes an instance of another zone, so that records replicate between zones. */
   private void probeRemote() {
     List<Member> remote = remotePeers();
     if (!isReader() || remote.isEmpty()) {
       return;
     }
     Member target = remote.get(random.nextInt(remote.size()));
-    ping(target).subscribe().with(answer -> {}, failure -> {});
+    ping(target).subscribe().with(response -> {}, failure -> {});
   }
 
-  private void refute(Member heard) {
-    if (!heard.supersedes(self)) {
+  private void refute(Member received) {
+    if (!received.supersedes(self)) {
       return;
     }
-    if (heard.epoch() > self.epoch()) {
-      self = self.withEpoch(heard.epoch() + 1);
+    if (received.epoch() > self.epoch()) {
+      self = self.withEpoch(received.epoch() + 1);
     } else {
-      self = self.refuting(heard.incarnation(), self.state());
+      self = self.refuting(received.incarnation(), self.state());
     }
     put(self);
   }
 
-  /** Takes over a record, and tells others of it. */
+  /** Stores a record and queues it for replication. */
   private void put(Member member) {
     members.put(member.name(), member);
-    news.put(member.name(), NEWS_REPEATS);
+    remainingSends.put(member.name(), SENDS_PER_UPDATE);
     view = Optional.empty();
   }
 
@@ -452,30 +456,30 @@
     return view.get();
   }
 
-  /** Returns news, and what is believed of the asker, if it has to contradict that. */
-  private List<Member> newsFor(Member asker) {
-    List<Member> told = takeNews();
-    Member believed = members.get(asker.name());
-    if (believed.supersedes(asker)) {
-      told.add(believed);
+  /** Returns records to replicate, and a newer record of the sender that it has to refute. */
+  private List<Member> updatesFor(Member sender) {
+    List<Member> updates = takeUpdates();
+    Member known = members.get(sender.name());
+    if (known.supersedes(sender)) {
+      updates.add(known);
     }
-    return told;
+    return updates;
   }
 
-  /** Returns records that were not told often enough yet, and this instance's own. */
-  private List<Member> takeNews() {
-    List<Member> told = new ArrayList<>();
-    told.add(self);
-    for (String name : List.copyOf(news.keySet())) {
-      if (told.size() >= NEWS_PER_MESSAGE) {
+  /** Returns the own record and records that were not yet sent the required number of times. */
+  private List<Member> takeUpdates() {
+    List<Member> updates = new ArrayList<>();
+    updates.add(self);
+    for (String name : List.copyOf(remainingSends.keySet())) {
+      if (updates.size() >= UPDATES_PER_MESSAGE) {
         break;
       }
-      told.add(members.get(name));
-      news.merge(name, -1, Integer::sum);
-      if (news.get(name) <= 0) {
-        news.remove(name);
+      updates.add(members.get(name));
+      remainingSends.merge(name, -1, Integer::sum);
+      if (remainingSends.get(name) <= 0) {
+        remainingSends.remove(name);
       }
     }
-    return told;
+    return updates;
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/membership/package-info.java
+++ b/org.oatlug/src/org/oatlug/internal/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Which instances are live, by probes and suspicion. */
+/** Failure detection between instances by probes and suspicion. */
 package org.oatlug.internal.membership;
--- a/org.oatlug/src/org/oatlug/internal/peer/CountedPeers.java
+++ b/org.oatlug/src/org/oatlug/internal/peer/CountedPeers.java
@@ -9,33 +9,34 @@
 import org.oatlug.internal.metrics.Meters;
 
 /**
- * Counts the questions to other instances by type and by whether they leave the availability zone,
- * {@code peer.asked.TYPE.own-zone} and {@code .other-zone}, and those without an answer, {@code
- * peer.unanswered.TYPE}. Used from one event loop.
+ * Counts the requests to other instances by type and by destination zone, as {@code
+ * peer.asked.TYPE.own-zone} and {@code .other-zone}, and the failed requests, as {@code
+ * peer.unanswered.TYPE}. TYPE is the simple name of the message class, so renaming a class renames
+ * its metrics. Used from one event loop.
  */
 public final class CountedPeers implements PeerNetwork {
-  private final PeerNetwork counted;
+  private final PeerNetwork delegate;
   private final Supplier<Member> self;
   private final Meters meters;
 
-  private CountedPeers(PeerNetwork counted, Supplier<Member> self, Meters meters) {
-    this.counted = counted;
+  private CountedPeers(PeerNetwork delegate, Supplier<Member> self, Meters meters) {
+    this.delegate = delegate;
     this.self = self;
     this.meters = meters;
   }
 
-  /** Returns the network with its questions counted. */
-  public static PeerNetwork of(PeerNetwork counted, Supplier<Member> self, Meters meters) {
-    return new CountedPeers(counted, self, meters);
+  /** Returns a network that counts the requests to the given one. */
+  public static PeerNetwork of(PeerNetwork delegate, Supplier<Member> self, Meters meters) {
+    return new CountedPeers(delegate, self, meters);
   }
 
   @Override
-  public Uni<PeerMessage> ask(Member peer, PeerMessage message, Duration patience) {
+  public Uni<PeerMessage> ask(Member peer, PeerMessage message, Duration timeout) {
     String type = message.getClass().getSimpleName();
     boolean inOwnZone = peer.zone().equals(self.get().zone());
     meters.count("peer.asked." + type + (inOwnZone ? ".own-zone" : ".other-zone"));
-    return counted
-        .ask(peer, message, patience)
+    return delegate
+        .ask(peer, message, timeout)
         .onFailure()
         .invoke(() -> meters.count("peer.unanswered." + type));
   }
--- a/org.oatlug/src/org/oatlug/internal/peer/Frames.java
+++ b/org.oatlug/src/org/oatlug/internal/peer/Frames.java
@@ -13,10 +13,11 @@
 import org.oatlug.internal.util.Json;
 
 /**
- * The framing of the peers' protocol: a length of four bytes, then an envelope in MessagePack.
+ * Encodes and decodes the frames of the peer protocol: a length of four bytes, then an envelope in
+ * MessagePack.
  *
- * <p>Invariant: a frame longer than the maximum, or one that is no envelope, closes the connection
- * and is never taken in part. Used from one event loop.
+ * <p>Invariant: a frame that exceeds the maximum length or holds no valid envelope closes the
+ * connection and is never processed in part. Used from one event loop.
  */
 final class Frames {
   static final int MAXIMUM_LENGTH = 4 * 1024 * 1024;
@@ -25,10 +26,10 @@
   private Frames() {}
 
   /**
-   * What a frame carries.
+   * Holds the content of a frame.
    *
-   * @param id pairs an answer with its question; 0 during the handshake
-   * @param answer whether this is an answer
+   * @param id matches a response to its request; 0 during the handshake
+   * @param answer whether this is a response
    * @param message the message
    */
   record Envelope(long id, boolean answer, PeerMessage message) {}
@@ -37,7 +38,7 @@
   interface Receiver {
     void received(Envelope envelope);
 
-    void broken(MalformedFrameException failure);
+    void malformed(MalformedFrameException failure);
   }
 
   static Buffer encode(Envelope envelope) {
@@ -55,11 +56,11 @@
     try {
       Envelope envelope = Json.MESSAGE_PACK.readValue(payload.getBytes(), Envelope.class);
       if (envelope == null || envelope.message() == null) {
-        throw new MalformedFrameException("no message");
+        throw new MalformedFrameException("the envelope has no message");
       }
       return envelope;
     } catch (IOException e) {
-      throw new MalformedFrameException("not an envelope");
+      throw new MalformedFrameException("the payload is not a valid envelope");
     }
   }
 
@@ -69,12 +70,12 @@
     socket.handler(parser);
   }
 
-  /** Reads length and payload in turn. */
+  /** Reads the length and the payload of frames alternately. */
   private static final class FrameReader implements Handler<Buffer> {
     private final RecordParser parser;
     private final Receiver receiver;
     private boolean readingLength = true;
-    private boolean broken;
+    private boolean failed;
 
     FrameReader(RecordParser parser, Receiver receiver) {
       this.parser = parser;
@@ -83,7 +84,7 @@
 
     @Override
     public void handle(Buffer record) {
-      if (broken) {
+      if (failed) {
         return;
       }
       if (readingLength) {
@@ -101,7 +102,7 @@
 
     private void expectPayload(int length) {
       if (length <= 0 || length > MAXIMUM_LENGTH) {
-        fail(new MalformedFrameException("length " + length));
+        fail(new MalformedFrameException("invalid frame length " + length));
         return;
       }
       readingLength = false;
@@ -109,8 +110,8 @@
     }
 
     private void fail(MalformedFrameException failure) {
-      broken = true;
-      receiver.broken(failure);
+      failed = true;
+      receiver.malformed(failure);
     }
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/peer/Member.java
+++ b/org.oatlug/src/org/oatlug/internal/peer/Member.java
@@ -6,18 +6,20 @@
 import java.util.Comparator;
 
 /**
- * What is said of an entry instance. Immutable.
+ * Describes an entry instance and its state. Immutable.
  *
- * <p>Records of one name are ordered by epoch, then incarnation, then state; the higher one counts.
+ * <p>Records of one name are ordered by epoch, then incarnation, then state; the highest is valid.
+ * The handshake authenticates {@link #toString()}, so the names of the type, its components and the
+ * states are part of the protocol.
  *
- * @param name the name from its settings
+ * @param name the configured name
  * @param zone the availability zone
  * @param rack the rack
- * @param host the IP number
- * @param peerPort the port of the peers' protocol
- * @param epoch when the process started, in milliseconds since 1970; 0 if only listed
- * @param incarnation how often the process contradicted a suspicion
- * @param state what is believed of it
+ * @param host the IP address
+ * @param peerPort the port of the peer protocol
+ * @param epoch the start of the process in milliseconds since 1970; 0 if it is only listed
+ * @param incarnation the number of suspicions that the process refuted
+ * @param state the state of the instance
  */
 public record Member(
     String name,
@@ -33,7 +35,7 @@
           .thenComparingInt(Member::incarnation)
           .thenComparing(Member::state);
 
-  /** What is believed of an instance; the later constant goes before the earlier. */
+  /** The state of an instance; a later constant supersedes an earlier one. */
   public enum State {
     ALIVE,
     SUSPECT,
@@ -41,7 +43,7 @@
     DEAD
   }
 
-  /** Returns whether this record goes before {@code other}. */
+  /** Returns whether this record supersedes {@code other}. */
   public boolean supersedes(Member other) {
     return ORDER.compare(this, other) > 0;
   }
@@ -51,20 +53,20 @@
     return new Member(name, zone, rack, host, peerPort, epoch, incarnation, newState);
   }
 
-  /** Returns this record with a higher incarnation, alive. */
+  /** Returns this record in the given state, with an incarnation above the given one. */
   public Member refuting(int otherIncarnation, State newState) {
     return new Member(name, zone, rack, host, peerPort, epoch, otherIncarnation + 1, newState);
   }
 
   /**
-   * Returns this record with a later epoch, for a process whose clock is behind the one that its
-   * predecessor started by.
+   * Returns this record with a later epoch, for a process whose clock is behind the clock that set
+   * the epoch of its predecessor.
    */
   public Member withEpoch(long newEpoch) {
     return new Member(name, zone, rack, host, peerPort, newEpoch, incarnation, state);
   }
 
-  /** Returns the name and epoch, which no other process has. */
+  /** Returns the unique identifier of the process: its name and epoch. */
   public String process() {
     return name + "@" + epoch;
   }
--- a/org.oatlug/src/org/oatlug/internal/peer/PeerConnection.java
+++ b/org.oatlug/src/org/oatlug/internal/peer/PeerConnection.java
@@ -16,26 +16,26 @@
 import org.oatlug.errors.PeerUnavailableException;
 
 /**
- * One connection between two instances, after the handshake.
+ * Exchanges requests and responses over a connection after the handshake.
  *
- * <p>Invariants: each question ends exactly once: with its answer, a time-out, or the end of the
- * connection. An answer that comes late is dropped. A connection that is silent while questions are
- * open is closed, so that the next question opens another: a path may lose a connection without a
- * reset while new ones work. Used from one event loop.
+ * <p>Invariants: each request completes exactly once: with its response, a timeout, or the end of
+ * the connection. A late response is dropped. A connection that receives nothing while requests
+ * time out is closed, so that the next request opens a new one: the network may drop a connection
+ * without a reset while new connections succeed. Used from one event loop.
  */
 final class PeerConnection implements Frames.Receiver {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** After so many questions in a row without any sign of the peer the connection is closed. */
-  private static final int MOST_UNANSWERED = 2;
+  /** The number of timeouts without a received frame that closes the connection. */
+  private static final int MAXIMUM_TIMEOUTS = 2;
 
   private final Vertx vertx;
   private final NetSocket socket;
   private final Member peer;
   private final PeerHandler handler;
-  private final Map<Long, Consumer<PeerMessage>> waiting = new HashMap<>();
+  private final Map<Long, Consumer<PeerMessage>> pendingRequests = new HashMap<>();
   private long lastId;
-  private int unanswered;
+  private int timeouts;
   private boolean closed;
 
   PeerConnection(Vertx vertx, NetSocket socket, Member peer, PeerHandler handler) {
@@ -55,41 +55,43 @@
 
   void closed() {
     closed = true;
-    Map<Long, Consumer<PeerMessage>> open = new HashMap<>(waiting);
-    waiting.clear();
-    open.values().forEach(waiter -> waiter.accept(new PeerMessage.Failed("connection closed")));
+    Map<Long, Consumer<PeerMessage>> aborted = new HashMap<>(pendingRequests);
+    pendingRequests.clear();
+    aborted
+        .values()
+        .forEach(completion -> completion.accept(new PeerMessage.Failed("connection closed")));
   }
 
-  Uni<PeerMessage> ask(PeerMessage message, Duration patience) {
-    return Uni.createFrom().emitter(emitter -> start(message, patience, emitter));
+  Uni<PeerMessage> ask(PeerMessage message, Duration timeout) {
+    return Uni.createFrom().emitter(emitter -> send(message, timeout, emitter));
   }
 
-  private void start(
-      PeerMessage message, Duration patience, UniEmitter<? super PeerMessage> emitter) {
+  private void send(
+      PeerMessage message, Duration timeout, UniEmitter<? super PeerMessage> emitter) {
     if (closed) {
       emitter.fail(new PeerUnavailableException(peer.name()));
       return;
     }
     long id = ++lastId;
-    long timer = vertx.setTimer(patience.toMillis(), unused -> timedOut(id));
-    waiting.put(
+    long timer = vertx.setTimer(timeout.toMillis(), unused -> timedOut(id));
+    pendingRequests.put(
         id,
-        answer -> {
+        response -> {
           vertx.cancelTimer(timer);
-          if (answer == null || answer instanceof PeerMessage.Failed) {
+          if (response == null || response instanceof PeerMessage.Failed) {
             emitter.fail(new PeerUnavailableException(peer.name()));
           } else {
-            emitter.complete(answer);
+            emitter.complete(response);
           }
         });
     socket.write(Frames.encode(new Frames.Envelope(id, false, message)));
   }
 
   private void timedOut(long id) {
-    finish(id, null);
-    unanswered++;
-    if (unanswered >= MOST_UNANSWERED && !closed) {
-      logger.atInfo().log("connection with %s is silent and is closed", peer.name());
+    complete(id, null);
+    timeouts++;
+    if (timeouts >= MAXIMUM_TIMEOUTS && !closed) {
+      logger.atInfo().log("closing the unresponsive connection to %s", peer.name());
       closed();
       socket.close();
     }
@@ -97,19 +99,19 @@
 
   @Override
   public void received(Frames.Envelope envelope) {
-    unanswered = 0;
+    timeouts = 0;
     if (envelope.answer()) {
-      finish(envelope.id(), envelope.message());
+      complete(envelope.id(), envelope.message());
       return;
     }
-    Uni<PeerMessage> answer;
+    Uni<PeerMessage> response;
     try {
-      answer = handler.handle(peer, envelope.message());
+      response = handler.handle(peer, envelope.message());
     } catch (RuntimeException e) {
-      logger.atWarning().withCause(e).log("message of %s failed", peer.name());
-      answer = Uni.createFrom().item(new PeerMessage.Failed(e.getClass().getSimpleName()));
+      logger.atWarning().withCause(e).log("handling a message of %s failed", peer.name());
+      response = Uni.createFrom().item(new PeerMessage.Failed(e.getClass().getSimpleName()));
     }
-    answer
+    response
         .subscribe()
         .with(
             message -> reply(envelope.id(), message),
@@ -117,8 +119,8 @@
   }
 
   @Override
-  public void broken(MalformedFrameException failure) {
-    logger.atWarning().log("peer %s is cut off: %s", peer.name(), failure.getMessage());
+  public void malformed(MalformedFrameException failure) {
+    logger.atWarning().log("closing the connection to %s: %s", peer.name(), failure.getMessage());
     socket.close();
   }
 
@@ -128,10 +130,10 @@
     }
   }
 
-  private void finish(long id, PeerMessage answer) {
-    Consumer<PeerMessage> waiter = waiting.remove(id);
-    if (waiter != null) {
-      waiter.accept(answer);
+  private void complete(long id, PeerMessage response) {
+    Consumer<PeerMessage> completion = pendingRequests.remove(id);
+    if (completion != null) {
+      completion.accept(response);
     }
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/peer/PeerHandler.java
+++ b/org.oatlug/src/org/oatlug/internal/peer/PeerHandler.java
@@ -5,10 +5,10 @@
 
 import io.smallrye.mutiny.Uni;
 
-/** Answers messages of other instances. Used from one event loop. */
+/** Handles messages of other instances. Used from one event loop. */
 @FunctionalInterface
 public interface PeerHandler {
 
-  /** Returns the answer; a failure is reported to the peer as such. */
+  /** Returns the response; the peer is notified of a failure. */
   Uni<PeerMessage> handle(Member from, PeerMessage message);
 }
--- a/org.oatlug/src/org/oatlug/internal/peer/PeerMessage.java
+++ b/org.oatlug/src/org/oatlug/internal/peer/PeerMessage.java
@@ -3,6 +3,7 @@
 
 package org.oatlug.internal.peer;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import com.fasterxml.jackson.annotation.JsonSubTypes;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import java.util.List;
@@ -46,7 +47,7 @@
 })
 public sealed interface PeerMessage {
 
-  /** The first message of the accepting side. */
+  /** The first message of the accepting side of a connection. */
   record Challenge(String nonce) implements PeerMessage {}
 
   /** The first message of the calling side, with its proof of the shared key. */
@@ -55,36 +56,38 @@
   /** The accepting side's proof of the shared key. */
   record Welcome(Member member, String proof) implements PeerMessage {}
 
-  /** A probe, with news of members. */
-  record Ping(List<Member> news) implements PeerMessage {}
+  /** A probe, with member records to merge. */
+  record Ping(@JsonProperty("news") List<Member> updates) implements PeerMessage {}
 
-  /** Asks the receiver to probe {@code target} in the sender's place. */
-  record PingFor(String target, List<Member> news) implements PeerMessage {}
+  /** Requests an indirect probe of {@code target} by the receiver. */
+  record PingFor(String target, @JsonProperty("news") List<Member> updates)
+      implements PeerMessage {}
 
-  /** The answer to a probe, with news of members. */
-  record Ack(List<Member> news) implements PeerMessage {}
+  /** The response to a probe, with member records to merge. */
+  record Ack(@JsonProperty("news") List<Member> updates) implements PeerMessage {}
 
   /**
-   * The digest over all objects, the age of the last platform contact, -1 if there is none, whether
-   * the sender has read all kinds, and whether it is in sync with the instances that ran before it.
+   * The digest of all objects, the age of the last platform contact or -1 if there was none,
+   * whether the sender has read all kinds, and whether it is in sync with the instances that ran
+   * before it.
    */
   record Digest(long digest, long contactAge, boolean readAll, boolean inSync)
       implements PeerMessage {}
 
-  /** The digests of the buckets; the answer carries the objects of those that differ. */
+  /** The digests of the buckets; the response carries the objects of the buckets that differ. */
   record BucketDigests(long[] digests, long contactAge) implements PeerMessage {}
 
-  /** Objects; when {@code forward} is set the receiver passes on those that were new to it. */
+  /** Objects; if {@code forward} is set, the receiver forwards those that were new to it. */
   record Objects(List<StoredObject> objects, long contactAge, boolean forward)
       implements PeerMessage {}
 
-  /** Asks the receiver to read the platform in the place of the sender, which cannot reach it. */
+  /** Requests that the receiver reads the platform for the sender, which cannot reach it. */
   record ReadInstead() implements PeerMessage {}
 
-  /** Asks which version of an object is in force. */
+  /** Requests the current revision of an object. */
   record VersionQuery(ObjectKey key) implements PeerMessage {}
 
-  /** The revision of an object that is in force, {@link StoreRevision#NONE} if there is none. */
+  /** The current revision of an object, {@link StoreRevision#NONE} if there is none. */
   record VersionAnswer(StoreRevision revision) implements PeerMessage {}
 
   /** Entries for the ledger shard that the receiver owns. */
@@ -93,22 +96,23 @@
   /** The confirmed results, in the order of the entries. */
   record Submitted(List<LedgerResult> results) implements PeerMessage {}
 
-  /** Asks the receiver to keep a bill until the ledger has it. */
+  /** Requests that the receiver retains a bill until it is in the ledger. */
   record HoldBill(Bill bill) implements PeerMessage {}
 
-  /** Says that the bills are in the ledger or void. */
+  /** Notifies that the bills are in the ledger or void. */
   record DropBills(List<String> ids) implements PeerMessage {}
 
-  /** Says that an upstream is leaving. */
+  /** Notifies that an upstream is leaving. */
   record UpstreamLeaving(String upstream) implements PeerMessage {}
 
-  /** The evidence of one instance against a candidate version, a logarithm. */
+  /** The logarithmic evidence of one instance against a candidate version. */
   record GuardEvidence(String candidate, double logEvidence) implements PeerMessage {}
 
   /**
-   * What one instance tells the collector of its zone: its account, the sessions that it has seen
-   * since the last message, up to which number it read the collector's sessions, the crashes that
-   * the collector has not been told of, and up to which revision it read the collector's.
+   * The message of an instance to the collector of its zone: its report, the sessions that it
+   * observed since the last message, the sequence number up to which it read the collector's
+   * sessions, the crashes that the collector has not acknowledged, and the revision up to which it
+   * read the collector's crashes.
    */
   record InstanceAccount(
       Account account,
@@ -117,7 +121,7 @@
       CrashNews crashes,
       long crashesUpTo)
       implements PeerMessage {
-    /** Takes a missing list for an empty one. */
+    /** Replaces a missing list by an empty one. */
     public InstanceAccount {
       seen = seen == null ? List.of() : seen;
       crashes = crashes == null ? CrashNews.NONE : crashes;
@@ -125,9 +129,9 @@
   }
 
   /**
-   * What a collector answers: the account of all others, the sessions after that number, whether it
-   * knows all that count, as it does not shortly after its start, and the crashes after that
-   * revision.
+   * The response of a collector: the aggregated report of all others, the sessions after the
+   * requested sequence number, whether it has all unexpired sessions, which it lacks shortly after
+   * its start, and the crashes after the requested revision.
    */
   record FleetAccount(
       Account others,
@@ -136,32 +140,32 @@
       boolean informed,
       CrashNews crashes)
       implements PeerMessage {
-    /** Takes a missing list for an empty one. */
+    /** Replaces a missing list by an empty one. */
     public FleetAccount {
       seen = seen == null ? List.of() : seen;
       crashes = crashes == null ? CrashNews.NONE : crashes;
     }
   }
 
-  /** What the collector of a zone tells those of the others of its zone. */
+  /** The aggregated report of a zone, sent by its collector to the collectors of the others. */
   record ZoneAccount(String zone, Account account, List<SeenSession> seen, CrashNews crashes)
       implements PeerMessage {
-    /** Takes a missing list for an empty one. */
+    /** Replaces a missing list by an empty one. */
     public ZoneAccount {
       seen = seen == null ? List.of() : seen;
       crashes = crashes == null ? CrashNews.NONE : crashes;
     }
   }
 
-  /** What a collector tells all of its zone at once of requests that upstreams ended under. */
-  record Crashes(CrashNews news) implements PeerMessage {}
+  /** Crashes that a collector pushes to its zone at once. */
+  record Crashes(@JsonProperty("news") CrashNews changes) implements PeerMessage {}
 
-  /** A message of a type that this version does not know, from a later or an earlier one. */
+  /** A message of an unknown type, from a later or an earlier version. */
   record Unknown() implements PeerMessage {}
 
-  /** An answer without content. */
+  /** A response without content. */
   record Done() implements PeerMessage {}
 
-  /** An answer to a message that could not be served. */
+  /** The response to a message that could not be handled. */
   record Failed(String reason) implements PeerMessage {}
 }
--- a/org.oatlug/src/org/oatlug/internal/peer/PeerNetwork.java
+++ b/org.oatlug/src/org/oatlug/internal/peer/PeerNetwork.java
@@ -6,14 +6,14 @@
 import io.smallrye.mutiny.Uni;
 import java.time.Duration;
 
-/** Sends messages to other instances. Used from one event loop. */
+/** Sends requests to other instances. Used from one event loop. */
 public interface PeerNetwork {
 
   /**
-   * Sends a message and waits for its answer.
+   * Sends a message and returns its response.
    *
    * <p>Fails with {@link org.oatlug.errors.PeerUnavailableException} when the peer cannot be
-   * reached, answers that it failed, or does not answer within {@code patience}.
+   * reached, reports a failure, or does not respond within {@code timeout}.
    */
-  Uni<PeerMessage> ask(Member peer, PeerMessage message, Duration patience);
+  Uni<PeerMessage> ask(Member peer, PeerMessage message, Duration timeout);
 }
--- a/org.oatlug/src/org/oatlug/internal/peer/PeerProof.java
+++ b/org.oatlug/src/org/oatlug/internal/peer/PeerProof.java
@@ -8,10 +8,10 @@
 import java.security.MessageDigest;
 
 /**
- * The proof that a peer has the shared key.
+ * Computes the HMAC by which a peer proves that it has the shared key.
  *
- * <p>Each side proves it over the other's nonce and its own role, so that a proof cannot be played
- * back or reflected. Immutable, thread-safe.
+ * <p>The proof of each side covers both nonces and its own role, so that it cannot be replayed or
+ * reflected. Immutable, thread-safe.
  */
 final class PeerProof {
   private final byte[] key;
@@ -32,10 +32,10 @@
     return mac("acceptor", acceptorNonce, callerNonce, acceptor.toString());
   }
 
-  static boolean same(String expected, String given) {
-    byte[] one = expected.getBytes(StandardCharsets.UTF_8);
-    byte[] other = given.getBytes(StandardCharsets.UTF_8);
-    return MessageDigest.isEqual(one, other);
+  static boolean matches(String expected, String received) {
+    byte[] expectedBytes = expected.getBytes(StandardCharsets.UTF_8);
+    byte[] receivedBytes = received.getBytes(StandardCharsets.UTF_8);
+    return MessageDigest.isEqual(expectedBytes, receivedBytes);
   }
 
   private String mac(String... parts) {
--- a/org.oatlug/src/org/oatlug/internal/peer/TcpPeers.java
+++ b/org.oatlug/src/org/oatlug/internal/peer/TcpPeers.java
@@ -28,11 +28,11 @@
 import org.oatlug.internal.util.Unis;
 
 /**
- * The peers' protocol over TCP, with TLS by settings.
+ * Implements the peer protocol over TCP, with optional TLS.
  *
- * <p>Invariant: nothing is taken from a connection before both sides proved the shared key; a
- * connection that has not done so in time is closed. One connection a direction and peer, opened on
- * first use. Used from one event loop.
+ * <p>Invariant: no message of a connection is handled before both sides have proved that they have
+ * the shared key; a connection whose handshake times out is closed. There is one connection per
+ * peer and direction, opened on first use. Used from one event loop.
  */
 public final class TcpPeers implements PeerNetwork {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -60,15 +60,15 @@
   /**
    * Returns the network of an instance.
    *
-   * @param self the record of this instance as it stands
-   * @param handler answers the messages of peers
+   * @param self supplies the current record of this instance
+   * @param handler handles the messages of peers
    */
   public static TcpPeers create(
       Vertx vertx, Settings.Peers settings, Supplier<Member> self, PeerHandler handler) {
     return new TcpPeers(vertx, settings, self, handler);
   }
 
-  /** Starts to accept peers. */
+  /** Starts to accept connections of peers. */
   public Future<NetServer> listen() {
     NetServerOptions options =
         new NetServerOptions().setHost(settings.host()).setPort(settings.port());
@@ -77,61 +77,62 @@
   }
 
   @Override
-  public Uni<PeerMessage> ask(Member peer, PeerMessage message, Duration patience) {
-    return Unis.fromFuture(() -> connectionWithin(peer, patience))
+  public Uni<PeerMessage> ask(Member peer, PeerMessage message, Duration timeout) {
+    return Unis.fromFuture(() -> connectionWithin(peer, timeout))
         .onItem()
-        .transformToUni(connection -> connection.ask(message, patience));
+        .transformToUni(connection -> connection.ask(message, timeout));
   }
 
   /**
-   * Returns the connection if it comes about in time; otherwise it may still serve later questions.
-   * Without this bound a question to a silent instance took two seconds, whatever its patience.
+   * Returns the connection if it is established within the timeout; later requests may still use it
+   * otherwise. Without this bound a request to an unresponsive instance takes two seconds
+   * regardless of its timeout.
    */
-  private Future<PeerConnection> connectionWithin(Member peer, Duration patience) {
+  private Future<PeerConnection> connectionWithin(Member peer, Duration timeout) {
     return connection(peer)
-        .timeout(patience.toMillis(), TimeUnit.MILLISECONDS)
+        .timeout(timeout.toMillis(), TimeUnit.MILLISECONDS)
         .recover(failure -> Future.failedFuture(new PeerUnavailableException(peer.name())));
   }
 
   private Future<PeerConnection> connection(Member peer) {
     String address = peer.host() + ":" + peer.peerPort();
-    Future<PeerConnection> known = connections.get(address);
-    if (known != null && !known.isComplete()) {
-      return known;
+    Future<PeerConnection> existing = connections.get(address);
+    if (existing != null && !existing.isComplete()) {
+      return existing;
     }
-    if (known != null && known.succeeded() && known.result().isOpen()) {
-      return known;
+    if (existing != null && existing.succeeded() && existing.result().isOpen()) {
+      return existing;
     }
     Future<PeerConnection> opened =
         client
             .connect(peer.peerPort(), peer.host())
-            .compose(this::greet)
+            .compose(this::startHandshake)
             .recover(failure -> Future.failedFuture(new PeerUnavailableException(peer.name())));
     connections.put(address, opened);
     return opened;
   }
 
-  private Future<PeerConnection> greet(NetSocket socket) {
+  private Future<PeerConnection> startHandshake(NetSocket socket) {
     Promise<PeerConnection> promise = Promise.promise();
-    Greeting greeting = new Greeting(socket, promise);
+    CallerHandshake handshake = new CallerHandshake(socket, promise);
     limitHandshake(socket, promise.future());
-    socket.closeHandler(unused -> greeting.closed());
-    Frames.read(socket, greeting);
+    socket.closeHandler(unused -> handshake.closed());
+    Frames.read(socket, handshake);
     return promise.future();
   }
 
   private void accept(NetSocket socket) {
     Promise<PeerConnection> promise = Promise.promise();
-    Acceptance acceptance = new Acceptance(socket, promise);
+    AcceptorHandshake handshake = new AcceptorHandshake(socket, promise);
     limitHandshake(socket, promise.future());
-    socket.closeHandler(unused -> acceptance.closed());
-    Frames.read(socket, acceptance);
-    send(socket, new PeerMessage.Challenge(acceptance.nonce));
+    socket.closeHandler(unused -> handshake.closed());
+    Frames.read(socket, handshake);
+    send(socket, new PeerMessage.Challenge(handshake.nonce));
   }
 
-  private void limitHandshake(NetSocket socket, Future<PeerConnection> done) {
+  private void limitHandshake(NetSocket socket, Future<PeerConnection> connection) {
     long timer = vertx.setTimer(HANDSHAKE_TIMEOUT_MILLIS, unused -> socket.close());
-    done.onComplete(unused -> vertx.cancelTimer(timer));
+    connection.onComplete(unused -> vertx.cancelTimer(timer));
   }
 
   private static void send(NetSocket socket, PeerMessage message) {
@@ -146,15 +147,15 @@
             .setTcpNoDelay(true);
     Optional<Settings.Tls> tls = settings.tls();
     tls.ifPresent(
-        files ->
+        tlsFiles ->
             options
                 .setSsl(true)
                 .setHostnameVerificationAlgorithm("")
-                .setTrustOptions(new PemTrustOptions().addCertPath(files.trust())));
+                .setTrustOptions(new PemTrustOptions().addCertPath(tlsFiles.trust())));
     return options;
   }
 
-  /** One side of a handshake, which hands over to a connection when it succeeded. */
+  /** One side of a handshake, which delegates to a connection after its success. */
   private abstract class Handshake implements Frames.Receiver {
     final NetSocket socket;
     final String nonce = UUID.randomUUID().toString();
@@ -166,7 +167,7 @@
       this.promise = promise;
     }
 
-    abstract void greeted(PeerMessage message) throws MalformedFrameException;
+    abstract void handleHandshake(PeerMessage message) throws MalformedFrameException;
 
     @Override
     public void received(Frames.Envelope envelope) {
@@ -175,16 +176,16 @@
         return;
       }
       try {
-        greeted(envelope.message());
+        handleHandshake(envelope.message());
       } catch (MalformedFrameException e) {
-        broken(e);
+        malformed(e);
       }
     }
 
     @Override
-    public void broken(MalformedFrameException failure) {
+    public void malformed(MalformedFrameException failure) {
       logger.atWarning().log(
-          "connection with %s is closed: %s", socket.remoteAddress(), failure.getMessage());
+          "closing the connection with %s: %s", socket.remoteAddress(), failure.getMessage());
       socket.close();
     }
 
@@ -202,24 +203,24 @@
   }
 
   /** The calling side. */
-  private final class Greeting extends Handshake {
+  private final class CallerHandshake extends Handshake {
     private String acceptorNonce;
 
-    Greeting(NetSocket socket, Promise<PeerConnection> promise) {
+    CallerHandshake(NetSocket socket, Promise<PeerConnection> promise) {
       super(socket, promise);
     }
 
     @Override
-    void greeted(PeerMessage message) throws MalformedFrameException {
+    void handleHandshake(PeerMessage message) throws MalformedFrameException {
       if (message instanceof PeerMessage.Challenge challenge && acceptorNonce == null) {
         acceptorNonce = challenge.nonce();
-        Member me = self.get();
-        String shown = proof.ofCaller(acceptorNonce, nonce, me);
-        send(socket, new PeerMessage.Hello(me, nonce, shown));
+        Member own = self.get();
+        String ownProof = proof.ofCaller(acceptorNonce, nonce, own);
+        send(socket, new PeerMessage.Hello(own, nonce, ownProof));
       } else if (message instanceof PeerMessage.Welcome welcome && acceptorNonce != null) {
         String expected = proof.ofAcceptor(acceptorNonce, nonce, welcome.member());
-        if (!PeerProof.same(expected, welcome.proof())) {
-          throw new MalformedFrameException("the peer has not the shared key");
+        if (!PeerProof.matches(expected, welcome.proof())) {
+          throw new MalformedFrameException("the proof of the shared key is invalid");
         }
         established(welcome.member());
       } else {
@@ -229,22 +230,22 @@
   }
 
   /** The accepting side. */
-  private final class Acceptance extends Handshake {
-    Acceptance(NetSocket socket, Promise<PeerConnection> promise) {
+  private final class AcceptorHandshake extends Handshake {
+    AcceptorHandshake(NetSocket socket, Promise<PeerConnection> promise) {
       super(socket, promise);
     }
 
     @Override
-    void greeted(PeerMessage message) throws MalformedFrameException {
+    void handleHandshake(PeerMessage message) throws MalformedFrameException {
       if (!(message instanceof PeerMessage.Hello hello)) {
         throw new MalformedFrameException("unexpected message in the handshake");
       }
       String expected = proof.ofCaller(nonce, hello.nonce(), hello.member());
-      if (!PeerProof.same(expected, hello.proof())) {
-        throw new MalformedFrameException("the peer has not the shared key");
+      if (!PeerProof.matches(expected, hello.proof())) {
+        throw new MalformedFrameException("the proof of the shared key is invalid");
       }
-      Member me = self.get();
-      send(socket, new PeerMessage.Welcome(me, proof.ofAcceptor(nonce, hello.nonce(), me)));
+      Member own = self.get();
+      send(socket, new PeerMessage.Welcome(own, proof.ofAcceptor(nonce, hello.nonce(), own)));
       established(hello.member());
     }
   }
