--- a/org.oatlug.test/tst/org/oatlug/internal/gather/CrashFleetTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/CrashFleetTest.java
@@ -8,7 +8,7 @@
 
 import java.time.Duration;
 import org.oatlug.internal.crash.RequestFingerprint;
-import org.oatlug.internal.gather.CrashScene.Policy;
+import org.oatlug.internal.gather.CrashSimulation.Policy;
 import org.oatlug.internal.gather.GatherFleet.Instance;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -36,20 +36,20 @@
     return new Object[][] {{3, 2, 13}, {3, 20, 78}, {5, 19, 37}};
   }
 
-  private static CrashScene simulate(
+  private static CrashSimulation simulate(
       Policy policy, int zones, int perZone, int upstreams, int guilty, long seed) {
     GatherFleet fleet = GatherFleet.of(zones, perZone, seed);
-    CrashScene scene = new CrashScene(fleet, policy, upstreams, seed);
+    CrashSimulation simulation = new CrashSimulation(fleet, policy, upstreams, seed);
     fleet.run(SECOND);
     for (int number = 0; number < guilty; number++) {
-      scene.sendGuilty("guilty-" + number, Duration.ofMillis(290 + 40L * number), 100);
+      simulation.sendGuilty("guilty-" + number, Duration.ofMillis(290 + 40L * number), 100);
     }
     for (int number = 0; number < 5; number++) {
-      scene.sendOften("often-" + number, Duration.ofMillis(60 + number), 400);
+      simulation.sendOften("often-" + number, Duration.ofMillis(60 + number), 400);
     }
-    scene.sendLong(Duration.ofMillis(30), 800);
+    simulation.sendLong(Duration.ofMillis(30), 800);
     fleet.run(SECOND.multipliedBy(32));
-    return scene;
+    return simulation;
   }
 
   @Test(dataProvider = "sizes")
@@ -58,12 +58,13 @@
     int innocent = 0;
     int refused = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      CrashScene scene = simulate(Policy.ISOLATE, zones, perZone, upstreams, 2, seed);
+      CrashSimulation simulation = simulate(Policy.ISOLATE, zones, perZone, upstreams, 2, seed);
       String context = "seed " + seed;
       assertTrue(
-          scene.guiltySentLate() <= MAXIMUM_SENT_AFTERWARDS, context + scene.guiltySentLate());
-      innocent += scene.innocent();
-      refused += scene.innocentRefused();
+          simulation.guiltySentLate() <= MAXIMUM_SENT_AFTERWARDS,
+          context + simulation.guiltySentLate());
+      innocent += simulation.innocent();
+      refused += simulation.innocentRefused();
     }
     assertTrue(refused * 500 <= innocent, refused + " of " + innocent + " refused");
   }
@@ -75,9 +76,9 @@
     int[] refused = new int[Policy.values().length];
     for (Policy policy : Policy.values()) {
       for (long seed = 1; seed <= SEEDS; seed++) {
-        CrashScene scene = simulate(policy, 3, 2, 13, 2, seed);
-        crashed[policy.ordinal()] += scene.crashed();
-        refused[policy.ordinal()] += scene.innocentRefused();
+        CrashSimulation simulation = simulate(policy, 3, 2, 13, 2, seed);
+        crashed[policy.ordinal()] += simulation.crashed();
+        refused[policy.ordinal()] += simulation.innocentRefused();
       }
     }
     assertTrue(refused[Policy.ISOLATE.ordinal()] <= refused[Policy.COUNT.ordinal()]);
@@ -87,14 +88,14 @@
   @Test(dataProvider = "sizes")
   public void testSimultaneousCrashesRefuseNoRequest(int zones, int perZone, int upstreams) {
     GatherFleet fleet = GatherFleet.of(zones, perZone, 7);
-    CrashScene scene = new CrashScene(fleet, Policy.ISOLATE, upstreams, 7);
+    CrashSimulation simulation = new CrashSimulation(fleet, Policy.ISOLATE, upstreams, 7);
     fleet.run(SECOND);
-    scene.sendOften("often", Duration.ofMillis(5), 4000);
+    simulation.sendOften("often", Duration.ofMillis(5), 4000);
     for (int round = 1; round <= 4; round++) {
-      fleet.after(SECOND.multipliedBy(4L * round), () -> scene.crashSome(upstreams / 2));
+      fleet.after(SECOND.multipliedBy(4L * round), () -> simulation.crashSome(upstreams / 2));
     }
     fleet.run(SECOND.multipliedBy(25));
-    assertEquals(scene.innocentRefused(), 0);
+    assertEquals(simulation.innocentRefused(), 0);
   }
 
   @Test(dataProvider = "sizes")
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/CrashScene.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/CrashSimulation.java
@@ -26,7 +26,7 @@
  * innocent ones: a few that repeat at a steady rate, and long ones that are sent once. Used from
  * request thread.
  */
-final class CrashScene {
+final class CrashSimulation {
   private static final int MAXIMUM_ATTEMPTS = 3;
   private static final Duration RESTART_TIME = Duration.ofMillis(2500);
   private static final Duration RETRY_DELAY = Duration.ofMillis(250);
@@ -55,7 +55,7 @@
   private int innocentServed;
   private long longRequests;
 
-  CrashScene(GatherFleet fleet, Policy policy, int upstreamCount, long seed) {
+  CrashSimulation(GatherFleet fleet, Policy policy, int upstreamCount, long seed) {
     this.fleet = fleet;
     this.policy = policy;
     this.random = new Random(seed);
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/LimitFleetTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/LimitFleetTest.java
@@ -31,41 +31,42 @@
 
   @Test(dataProvider = "cases")
   public void testInstancesTogetherStayWithinLimit(int zones, int perZone, double rate) {
-    LimitScene scene = new LimitScene(GatherFleet.of(zones, perZone, 1), 60);
-    scene.advertise(OptionalDouble.of(rate));
-    scene.run(SECOND.multipliedBy(40));
-    assertWithinLimit(scene, rate);
-    assertTrue(scene.sentWithin(SECOND.multipliedBy(30)) >= 0.9 * 30 * rate, "too few requests");
+    LimitSimulation simulation = new LimitSimulation(GatherFleet.of(zones, perZone, 1), 60);
+    simulation.advertise(OptionalDouble.of(rate));
+    simulation.run(SECOND.multipliedBy(40));
+    assertWithinLimit(simulation, rate);
+    assertTrue(
+        simulation.sentWithin(SECOND.multipliedBy(30)) >= 0.9 * 30 * rate, "too few requests");
   }
 
   @Test(dataProvider = "cases")
   public void testChangingLimitIsApplied(int zones, int perZone, double rate) {
-    LimitScene scene = new LimitScene(GatherFleet.of(zones, perZone, 2), 60);
+    LimitSimulation simulation = new LimitSimulation(GatherFleet.of(zones, perZone, 2), 60);
     for (int second = 0; second < 20; second++) {
-      scene.advertise(OptionalDouble.of(rate * (second % 2 + 1) / 2));
-      scene.run(SECOND);
+      simulation.advertise(OptionalDouble.of(rate * (second % 2 + 1) / 2));
+      simulation.run(SECOND);
     }
-    assertWithinLimit(scene, rate);
+    assertWithinLimit(simulation, rate);
   }
 
   @Test(dataProvider = "cases")
   public void testEndOfLimitReachesAllInstances(int zones, int perZone, double rate) {
-    LimitScene scene = new LimitScene(GatherFleet.of(zones, perZone, 3), 60);
-    scene.advertise(OptionalDouble.of(rate));
-    scene.run(SECOND.multipliedBy(10));
-    scene.advertise(OptionalDouble.empty());
-    scene.run(SECOND.multipliedBy(2).plus(KNOWN_WITHIN));
-    assertEquals(scene.limitedInstances(), 0, "still limited at instances");
+    LimitSimulation simulation = new LimitSimulation(GatherFleet.of(zones, perZone, 3), 60);
+    simulation.advertise(OptionalDouble.of(rate));
+    simulation.run(SECOND.multipliedBy(10));
+    simulation.advertise(OptionalDouble.empty());
+    simulation.run(SECOND.multipliedBy(2).plus(KNOWN_WITHIN));
+    assertEquals(simulation.limitedInstances(), 0, "still limited at instances");
   }
 
   @Test(dataProvider = "cases")
   public void testLimitIsAppliedWhenOneInstanceHasRequests(int zones, int perZone, double rate) {
-    LimitScene scene = new LimitScene(GatherFleet.of(zones, perZone, 7), 60);
-    scene.advertise(OptionalDouble.of(rate));
-    scene.run(SECOND.multipliedBy(10));
-    scene.sendOnlyFrom(instance -> instance.name().equals("entry-0-0"));
-    scene.run(SECOND.multipliedBy(30));
-    assertWithinLimit(scene, rate);
+    LimitSimulation simulation = new LimitSimulation(GatherFleet.of(zones, perZone, 7), 60);
+    simulation.advertise(OptionalDouble.of(rate));
+    simulation.run(SECOND.multipliedBy(10));
+    simulation.sendOnlyFrom(instance -> instance.name().equals("entry-0-0"));
+    simulation.run(SECOND.multipliedBy(30));
+    assertWithinLimit(simulation, rate);
   }
 
   /**
@@ -75,13 +76,13 @@
   @Test(dataProvider = "cases")
   public void testEndOfLimitReachesAllWhenOneInstanceHasRequests(
       int zones, int perZone, double rate) {
-    LimitScene scene = new LimitScene(GatherFleet.of(zones, perZone, 6), 60);
-    scene.advertise(OptionalDouble.of(rate));
-    scene.run(SECOND.multipliedBy(10));
-    scene.sendOnlyFrom(instance -> instance.name().equals("entry-0-0"));
-    scene.advertise(OptionalDouble.empty());
-    scene.run(SharedRateLimit.TURN.multipliedBy(perZone + 1));
-    assertEquals(scene.limitedInstances(), 0, "still limited at instances");
+    LimitSimulation simulation = new LimitSimulation(GatherFleet.of(zones, perZone, 6), 60);
+    simulation.advertise(OptionalDouble.of(rate));
+    simulation.run(SECOND.multipliedBy(10));
+    simulation.sendOnlyFrom(instance -> instance.name().equals("entry-0-0"));
+    simulation.advertise(OptionalDouble.empty());
+    simulation.run(SharedRateLimit.TURN.multipliedBy(perZone + 1));
+    assertEquals(simulation.limitedInstances(), 0, "still limited at instances");
   }
 
   @Test(dataProvider = "cases")
@@ -111,10 +112,10 @@
     }
   }
 
-  private static void assertWithinLimit(LimitScene scene, double rate) {
+  private static void assertWithinLimit(LimitSimulation simulation, double rate) {
     double allowed = 6 * rate + 5;
     assertTrue(
-        scene.maximumCounted() <= allowed,
-        scene.maximumCounted() + " requests in 4 s, allowed " + allowed);
+        simulation.maximumCounted() <= allowed,
+        simulation.maximumCounted() + " requests in 4 s, allowed " + allowed);
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/LimitScene.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/LimitSimulation.java
@@ -24,7 +24,7 @@
  * Simulates in virtual time an upstream that advertises a rate limit and instances that send to it
  * as fast as they may. Used from one thread.
  */
-final class LimitScene {
+final class LimitSimulation {
   private static final String UPSTREAM = "i-1@1";
   private static final Duration RESPONSE_TIME = Duration.ofMillis(30);
   private static final Duration TICK = Duration.ofMillis(100);
@@ -45,7 +45,7 @@
   private int maximumCounted;
 
   /** Starts senders at all instances, each with a minimum interval in milliseconds. */
-  LimitScene(GatherFleet fleet, int pauseMillis) {
+  LimitSimulation(GatherFleet fleet, int pauseMillis) {
     this.fleet = fleet;
     this.interval = Duration.ofMillis(pauseMillis);
     fleet.instances().forEach(instance -> new Sender(instance).start());
