--- a/org.oatlug.test/tst/org/oatlug/adapter/ForeignEntryTest.java
+++ b/org.oatlug.test/tst/org/oatlug/adapter/ForeignEntryTest.java
@@ -25,18 +25,18 @@
 import org.oatlug.platform.StoredObject;
 
 /**
- * Shows what becomes of objects of the store that another writer wrote.
+ * Tests the decoding of objects that another system wrote to the store.
  *
- * <p>Symptom: an entry of an unknown state counted as ready, a missing service or zone as an empty
- * name, and one that could not be read left the one before in force. Such an entry names no
- * upstream to use.
+ * <p>Guards against an unknown state that counts as ready, a missing service or zone that becomes
+ * an empty name, and an undecodable entry that leaves its previous value in effect. Such an entry
+ * is unusable.
  */
 class ForeignEntryTest {
   private static final String SEED = "20261203";
   private static final long EPOCH = 3;
   private static final List<String> FIELDS =
       List.of("service", "address", "zone", "version", "slots", "state", "cold-ms", "sequence");
-  private static final List<String> ODD_VALUES =
+  private static final List<String> INVALID_VALUES =
       List.of(
           "null", "true", "{}", "[]", "\"\"", "\" \"", "-1", "1e400", "\"\\u0000\\uD800\"", "0.5");
   private static final Map<String, List<String>> KINDS =
@@ -46,7 +46,7 @@
           GatewayKinds.ROLLOUT, List.of("service", "target-version", "duration-s"),
           GatewayKinds.EVACUATION, List.of());
 
-  private static ObjectNode sound() throws Exception {
+  private static ObjectNode validEntry() throws Exception {
     String text = SampleObjects.upstream("pool", "127.0.0.1", 8080, "v1").encode();
     return (ObjectNode) Json.STRICT.readTree(text);
   }
@@ -70,80 +70,82 @@
   }
 
   @Property(tries = 1, seed = SEED)
-  void testSoundEntryIsTaken() throws Exception {
-    UpstreamRecord read = Json.STRICT.treeToValue(decode(sound()).value(), UpstreamRecord.class);
+  void testValidEntryIsAccepted() throws Exception {
+    UpstreamRecord registered =
+        Json.STRICT.treeToValue(decode(validEntry()).value(), UpstreamRecord.class);
     UpstreamRecord expected =
         UpstreamRecord.of("pool", "127.0.0.1", 8080, "hall-a", "v1", 8, false).withSequence(1);
-    assertEquals(read, expected);
-    assertEquals(read.coldMillis(), OptionalLong.empty());
+    assertEquals(registered, expected);
+    assertEquals(registered.coldMillis(), OptionalLong.empty());
   }
 
   @Property(tries = 1, seed = SEED)
-  void testMissingFieldNamesNoUpstream() throws Exception {
+  void testMissingFieldMakesEntryUnusable() throws Exception {
     for (String field : FIELDS) {
-      assertUnusable(sound().without(field));
+      assertUnusable(validEntry().without(field));
     }
   }
 
   @Property(tries = 1, seed = SEED)
-  void testFieldOfAnotherTypeNamesNoUpstream() throws Exception {
+  void testFieldOfAnotherTypeMakesEntryUnusable() throws Exception {
     for (String field : FIELDS) {
-      boolean number = List.of("slots", "cold-ms", "sequence").contains(field);
-      assertUnusable(sound().put(field, number ? "8" : ""));
-      for (String odd : ODD_VALUES) {
-        boolean oddText = odd.contains("uD800");
-        if (number || !oddText) {
-          assertUnusable(sound().set(field, Json.STRICT.readTree(odd)));
+      boolean isNumber = List.of("slots", "cold-ms", "sequence").contains(field);
+      assertUnusable(validEntry().put(field, isNumber ? "8" : ""));
+      for (String invalid : INVALID_VALUES) {
+        boolean isText = invalid.contains("uD800");
+        if (isNumber || !isText) {
+          assertUnusable(validEntry().set(field, Json.STRICT.readTree(invalid)));
         }
       }
     }
   }
 
   @Property(tries = 1, seed = SEED)
-  void testUnknownStateAndOddAddressNameNoUpstream() throws Exception {
+  void testUnknownStateOrInvalidAddressMakesEntryUnusable() throws Exception {
     for (String state : List.of("READY", "starting", "ready ", "x".repeat(100_000))) {
-      assertUnusable(sound().put("state", state));
+      assertUnusable(validEntry().put("state", state));
     }
     List<String> addresses =
         List.of("127.0.0.1", ":80", "127.0.0.1:0", "127.0.0.1:70000", "host:80", "1.2.3.4:8a");
     for (String address : addresses) {
-      assertUnusable(sound().put("address", address));
+      assertUnusable(validEntry().put("address", address));
     }
-    for (String whole : List.of("3", "\"text\"", "[]", "null", "true")) {
-      assertUnusable(Json.STRICT.readTree(whole));
+    for (String notAnObject : List.of("3", "\"text\"", "[]", "null", "true")) {
+      assertUnusable(Json.STRICT.readTree(notAnObject));
     }
   }
 
   @Property(tries = 1, seed = SEED)
-  void testStartIsReadAndOddOneSaysNothing() throws Exception {
-    UpstreamRecord read =
+  void testStartTimeIsReadAndInvalidStartTimeIsIgnored() throws Exception {
+    UpstreamRecord registered =
         Json.STRICT.treeToValue(
-            decode(sound().put("born", 1764720000123L)).value(), UpstreamRecord.class);
-    assertEquals(read.startedAtMillis(), OptionalLong.of(1764720000123L));
-    for (String odd : ODD_VALUES) {
-      JsonNode spec = sound().set("born", Json.STRICT.readTree(odd));
-      UpstreamRecord other = Json.STRICT.treeToValue(decode(spec).value(), UpstreamRecord.class);
-      assertEquals(other.startedAtMillis(), OptionalLong.empty(), odd);
+            decode(validEntry().put("born", 1764720000123L)).value(), UpstreamRecord.class);
+    assertEquals(registered.startedAtMillis(), OptionalLong.of(1764720000123L));
+    for (String invalid : INVALID_VALUES) {
+      JsonNode spec = validEntry().set("born", Json.STRICT.readTree(invalid));
+      UpstreamRecord withoutStart =
+          Json.STRICT.treeToValue(decode(spec).value(), UpstreamRecord.class);
+      assertEquals(withoutStart.startedAtMillis(), OptionalLong.empty(), invalid);
     }
   }
 
-  /** Whatever stands in an object of any kind, it is read, marked as unusable, or passed over. */
+  /** An object of any kind and content is decoded, marked as unusable or rejected. */
   @Property(tries = 400, seed = SEED)
-  void testNothingBreaksTheDecoder(@ForAll long chance) throws Exception {
-    Random random = new Random(chance);
+  void testArbitraryObjectsDoNotCrashTheDecoder(@ForAll long randomSeed) throws Exception {
+    Random random = new Random(randomSeed);
     for (Map.Entry<String, List<String>> kind : KINDS.entrySet()) {
-      ObjectNode spec = sound();
+      ObjectNode spec = validEntry();
       List<String> fields = kind.getValue().isEmpty() ? FIELDS : kind.getValue();
       for (String field : fields) {
         if (random.nextInt(3) == 0) {
-          String odd = ODD_VALUES.get(random.nextInt(ODD_VALUES.size()));
-          JsonNode value = Json.STRICT.readTree(odd);
+          String invalid = INVALID_VALUES.get(random.nextInt(INVALID_VALUES.size()));
+          JsonNode value = Json.STRICT.readTree(invalid);
           spec.set(field, random.nextBoolean() ? value : spec.arrayNode().add(value));
         }
       }
       ObjectNode object = object("name-" + (char) random.nextInt(0x500), spec);
       if (random.nextInt(5) == 0) {
-        object.set("status", Json.STRICT.readTree(ODD_VALUES.get(random.nextInt(10))));
+        object.set("status", Json.STRICT.readTree(INVALID_VALUES.get(random.nextInt(10))));
       }
       try {
         StoredObject decoded = ObjectDecoder.decode(kind.getKey(), object, EPOCH);
@@ -155,13 +157,13 @@
   }
 
   @Property(tries = 1, seed = SEED)
-  void testNameThatIsTooLongOrMissingIsPassedOver() throws Exception {
+  void testTooLongOrMissingNameIsRejected() throws Exception {
     for (String name : List.of("", "n".repeat(100_000))) {
       try {
-        ObjectDecoder.decode(GatewayKinds.UPSTREAM, object(name, sound()), EPOCH);
+        ObjectDecoder.decode(GatewayKinds.UPSTREAM, object(name, validEntry()), EPOCH);
         throw new AssertionError("taken");
       } catch (ConfigurationInvalidException e) {
-        assertTrue(e.getMessage().length() < 200, "the message is short");
+        assertTrue(e.getMessage().length() < 200, "the message is bounded");
       }
     }
   }
--- a/org.oatlug.test/tst/org/oatlug/adapter/RestoredStoreClientTest.java
+++ b/org.oatlug.test/tst/org/oatlug/adapter/RestoredStoreClientTest.java
@@ -32,7 +32,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Shows which answers of a store that was restored reach an instance. */
+/** Tests which responses are accepted after the store was restored from a copy. */
 public class RestoredStoreClientTest {
   private static final String HOST = "127.0.0.1";
   private static final List<String> ROUTING = List.of(GatewayKinds.ROUTING);
@@ -58,7 +58,7 @@
     vertx.close().toCompletionStage().toCompletableFuture().join();
   }
 
-  private static <T> T get(Uni<T> call) {
+  private static <T> T awaitItem(Uni<T> call) {
     return call.await().atMost(Duration.ofSeconds(10));
   }
 
@@ -74,33 +74,33 @@
   }
 
   @Test
-  public void testRevisionsCarryTheEpochOfTheAnswer() {
+  public void testRevisionsCarryTheEpochOfTheResponse() {
     register("i-1", 1);
     StoreStandin.Copy copy = store.copy();
-    assertEquals(get(client.list(UPSTREAM)).revision(), new StoreRevision(1, 1));
+    assertEquals(awaitItem(client.list(UPSTREAM)).revision(), new StoreRevision(1, 1));
     store.restore(copy);
-    Platform.Batch after = get(client.list(UPSTREAM));
+    Platform.Batch after = awaitItem(client.list(UPSTREAM));
     assertEquals(after.revision(), new StoreRevision(2, 1));
     assertEquals(after.objects().get(0).revision(), new StoreRevision(2, 1));
   }
 
   @Test
-  public void testAnswerFromBeforeTheRestoreIsDiscardedWhenItComesLate() {
+  public void testDelayedResponseFromBeforeTheRestoreIsDiscarded() {
     register("i-1", 1);
     final StoreStandin.Copy copy = store.copy();
     register("i-1", 2);
     store.delayAnswers("servers");
-    final CompletableFuture<Platform.Batch> late =
+    final CompletableFuture<Platform.Batch> delayed =
         client.list(UPSTREAM).subscribeAsCompletionStage();
-    Await.until("the answer waits", () -> store.delayedAnswers() == 1);
+    Await.until("the response is delayed", () -> store.delayedAnswers() == 1);
     store.restore(copy);
-    get(client.list(ROUTING));
+    awaitItem(client.list(ROUTING));
     store.releaseAnswers();
-    assertDiscarded(late);
+    assertDiscarded(delayed);
   }
 
   @Test
-  public void testPagesOfTwoEpochsMakeNoList() {
+  public void testListWithPagesOfTwoEpochsIsDiscarded() {
     for (int number = 1; number <= 5; number++) {
       register("i-" + number, 1);
     }
@@ -108,37 +108,37 @@
     store.setPageSize(2);
     store.afterNextPage(() -> store.restore(copy));
     assertDiscarded(client.list(UPSTREAM).subscribeAsCompletionStage());
-    assertEquals(get(client.list(UPSTREAM)).objects().size(), 5);
+    assertEquals(awaitItem(client.list(UPSTREAM)).objects().size(), 5);
   }
 
   @Test
-  public void testWatchFromRevisionThatIsGoneFailsAndTellsTheEpoch() {
+  public void testWatchFromLostRevisionFailsAndUpdatesTheEpoch() {
     StoreStandin.Copy copy = store.copy();
     register("i-1", 1);
-    StoreRevision known = get(client.list(UPSTREAM)).revision();
+    StoreRevision lost = awaitItem(client.list(UPSTREAM)).revision();
     store.restore(copy);
     CompletableFuture<Platform.Batch> watch =
-        client.watch(UPSTREAM, known, Duration.ofSeconds(1)).subscribeAsCompletionStage();
+        client.watch(UPSTREAM, lost, Duration.ofSeconds(1)).subscribeAsCompletionStage();
     expectThrows(CompletionException.class, watch::join);
     assertEquals(client.epoch().newest(), 2);
   }
 
-  private static ServiceRollout running(StoredObject order) throws Exception {
-    ServiceRollout read = Json.STRICT.treeToValue(order.value(), ServiceRollout.class);
+  private static ServiceRollout running(StoredObject storedRollout) throws Exception {
+    ServiceRollout decoded = Json.STRICT.treeToValue(storedRollout.value(), ServiceRollout.class);
     ServiceRollout.State state = ServiceRollout.State.RUNNING;
-    return read.withProgress(new ServiceRollout.Progress(state, "v2", 1));
+    return decoded.withProgress(new ServiceRollout.Progress(state, "v2", 1));
   }
 
   @Test
-  public void testWriteThatWasPreparedBeforeTheRestoreIsNotSent() throws Exception {
+  public void testWritePreparedBeforeTheRestoreIsNotSent() throws Exception {
     store.put("rollouts", SampleObjects.SERVICE, SampleObjects.rollout("v2", 10));
     StoreStandin.Copy copy = store.copy();
-    StoredObject order = get(client.get(ROLLOUT)).orElseThrow();
+    StoredObject storedRollout = awaitItem(client.get(ROLLOUT)).orElseThrow();
     store.restore(copy);
-    get(client.list(ROUTING));
+    awaitItem(client.list(ROUTING));
     CompletableFuture<StoreRevision> write =
         client
-            .put(ROLLOUT, order.revision(), Json.STRICT.valueToTree(running(order)))
+            .put(ROLLOUT, storedRollout.revision(), Json.STRICT.valueToTree(running(storedRollout)))
             .subscribeAsCompletionStage();
     CompletionException failure = expectThrows(CompletionException.class, write::join);
     assertTrue(failure.getCause() instanceof ConflictException);
@@ -146,23 +146,23 @@
   }
 
   @Test
-  public void testWriteWhoseConditionMatchedAnotherEpochCountsAsUnanswered() throws Exception {
+  public void testWriteWhoseConditionMatchedInAnotherEpochIsDiscarded() throws Exception {
     store.put("rollouts", SampleObjects.SERVICE, SampleObjects.rollout("v2", 10));
     StoreStandin.Copy copy = store.copy();
-    StoredObject order = get(client.get(ROLLOUT)).orElseThrow();
+    StoredObject storedRollout = awaitItem(client.get(ROLLOUT)).orElseThrow();
     store.restore(copy);
     assertDiscarded(
         client
-            .put(ROLLOUT, order.revision(), Json.STRICT.valueToTree(running(order)))
+            .put(ROLLOUT, storedRollout.revision(), Json.STRICT.valueToTree(running(storedRollout)))
             .subscribeAsCompletionStage());
   }
 
   @Test
-  public void testStoreThatNamesNoEpochOrOddOneIsReadAsBefore() {
+  public void testStoreWithMissingOrInvalidEpochIsRead() {
     register("i-1", 1);
-    for (String odd : List.of("", "x", "-3", "99999999999999999999")) {
-      store.setEpochText(odd);
-      assertEquals(get(client.list(UPSTREAM)).revision(), StoreRevision.ofNumber(1));
+    for (String invalid : List.of("", "x", "-3", "99999999999999999999")) {
+      store.setEpochText(invalid);
+      assertEquals(awaitItem(client.list(UPSTREAM)).revision(), StoreRevision.ofNumber(1));
     }
     assertEquals(Optional.of(client.epoch().newest()), Optional.of(0L));
   }
