--- a/org.oatlug.test/tst/org/oatlug/adapter/RestoredStoreClientTest.java
+++ b/org.oatlug.test/tst/org/oatlug/adapter/RestoredStoreClientTest.java
@@ -89,13 +89,13 @@
     register("i-1", 1);
     final StoreStandin.Copy copy = store.copy();
     register("i-1", 2);
-    store.delayAnswers("servers");
+    store.delayResponses("servers");
     final CompletableFuture<Platform.Batch> delayed =
         client.list(UPSTREAM).subscribeAsCompletionStage();
-    Await.until("the response is delayed", () -> store.delayedAnswers() == 1);
+    Await.until("the response is delayed", () -> store.delayedResponses() == 1);
     store.restore(copy);
     awaitItem(client.list(ROUTING));
-    store.releaseAnswers();
+    store.releaseResponses();
     assertDiscarded(delayed);
   }
 
