--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayDecisionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayDecisionTest.java
@@ -123,9 +123,9 @@
     return new Generation("*", promptTokens, outputTokens, prompt, OptionalInt.empty());
   }
 
-  private UpstreamSelection.Wanted criteria(
+  private UpstreamSelection.Criteria criteria(
       Optional<VersionRule.Wish> constraint, Set<String> excluded) {
-    return new UpstreamSelection.Wanted(
+    return new UpstreamSelection.Criteria(
         "pool", constraint, Optional.empty(), Optional.empty(), 0, excluded, false);
   }
 
@@ -150,16 +150,16 @@
     limits.advertised(tables.row("i-1").process(), 1);
     RateSenders noOtherSenders =
         new RateSenders(SenderSelection.ALONE, (upstream, zone, most, turn) -> 0);
-    UpstreamStanding standing = UpstreamStanding.of(tables, gate(limits, noOtherSenders));
+    UpstreamEligibility eligibility = UpstreamEligibility.of(tables, gate(limits, noOtherSenders));
     for (int connection = 0; connection < 100; connection++) {
       tables.row("i-2").reserve();
     }
-    assertEquals(standing.reasonOfNone("pool", now), RefusalReason.NO_UPSTREAM);
+    assertEquals(eligibility.refusalReason("pool", now), RefusalReason.NO_UPSTREAM);
     limits.advertised(tables.row("i-2").process(), 1);
     for (int connection = 0; connection < 100; connection++) {
       tables.row("i-2").release();
     }
-    assertEquals(standing.reasonOfNone("pool", now), RefusalReason.UPSTREAMS_LIMITED);
+    assertEquals(eligibility.refusalReason("pool", now), RefusalReason.UPSTREAMS_LIMITED);
   }
 
   private UpstreamSelection selection() {
@@ -320,8 +320,8 @@
     Generation generation = generation(50_000, 10, 7, 8);
     UpstreamSelection.recordPrompt(tables.loads().row("i-2"), "m", generation(1, 1, 7));
     UpstreamSelection selection = selection();
-    UpstreamSelection.Wanted criteria =
-        new UpstreamSelection.Wanted(
+    UpstreamSelection.Criteria criteria =
+        new UpstreamSelection.Criteria(
             "pool",
             Optional.empty(),
             Optional.of("m"),
@@ -345,8 +345,8 @@
             zone, tables, speeds, reading, zones, unlimitedGate(), unused -> false, new Random(1));
     List<PromptPart> parts = List.of(new PromptPart(7, 13_000), new PromptPart(8, 4000));
     Generation generation = new Generation("*", 17_000, 300, parts, OptionalInt.empty());
-    UpstreamSelection.Wanted criteria =
-        new UpstreamSelection.Wanted(
+    UpstreamSelection.Criteria criteria =
+        new UpstreamSelection.Criteria(
             "pool",
             Optional.empty(),
             Optional.of("m"),
--- a/org.oatlug/src/org/oatlug/internal/gateway/AttemptFeedback.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/AttemptFeedback.java
@@ -77,9 +77,9 @@
    *
    * @return the reason why it must not be written, empty if it may be
    */
-  Optional<UpstreamStanding.Out> write() {
+  Optional<UpstreamEligibility.Exclusion> write() {
     Instant now = now();
-    Optional<UpstreamStanding.Out> refused = reservation.flatMap(held -> held.write(now));
+    Optional<UpstreamEligibility.Exclusion> refused = reservation.flatMap(held -> held.write(now));
     if (refused.isEmpty()) {
       writtenAt = Optional.of(now);
     }
@@ -87,7 +87,7 @@
   }
 
   /** Records that the response begins, whatever its status, and applies its load information. */
-  void headCame(AnswerHead head) {
+  void responseHeadReceived(AnswerHead head) {
     dequeuePrompt();
     parts.zones().reached(chosen.upstream().zone());
     head.load()
@@ -183,7 +183,7 @@
   }
 
   /** Records that no connection to the upstream could be opened. */
-  void notReached() {
+  void connectFailed() {
     parts.zones().notReached(chosen.upstream().zone(), chosen.name(), now());
   }
 
@@ -215,7 +215,7 @@
   }
 
   /** Updates the estimates with the time to the response head, and meters the forecast error. */
-  void speed() {
+  void recordTimeToHead() {
     parts.times().recordHeadTime(timesKey(), took());
     HeadForecast forecast = chosen.forecast();
     if (forecast.equals(HeadForecast.NONE)) {
@@ -232,12 +232,12 @@
   }
 
   /** Returns the timeout until the response begins. */
-  Duration headPatience() {
+  Duration headTimeout() {
     return parts.times().headTimeout(timesKey());
   }
 
   /** Returns the timeout between two events of a stream. */
-  Duration pausePatience() {
+  Duration pauseTimeout() {
     return parts.times().pauseTimeout(timesKey());
   }
 
--- a/org.oatlug/src/org/oatlug/internal/gateway/CrashGuard.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/CrashGuard.java
@@ -58,12 +58,12 @@
   }
 
   /** Returns the guard for one try of a request. */
-  Guarded guard(Incoming incoming) {
-    return new Guarded(incoming);
+  RequestGuard guard(Incoming incoming) {
+    return new RequestGuard(incoming);
   }
 
   /** Returns whether a suspect runs on the upstream. */
-  boolean isSetApart(String upstream) {
+  boolean runsSuspect(String upstream) {
     return !suspectUpstreams.isEmpty() && suspectUpstreams.containsValue(upstream);
   }
 
@@ -74,11 +74,11 @@
   }
 
   /** Guards one try of a request. */
-  final class Guarded {
+  final class RequestGuard {
     private final Incoming incoming;
     private Optional<String> fingerprint = Optional.empty();
 
-    private Guarded(Incoming incoming) {
+    private RequestGuard(Incoming incoming) {
       this.incoming = incoming;
     }
 
@@ -101,7 +101,7 @@
     }
 
     /** Returns the time after which the caller may retry, empty if the request may run now. */
-    Optional<Duration> refusedFor() {
+    Optional<Duration> retryDelay() {
       return switch (verdict()) {
         case CLEAR -> Optional.empty();
         case SUSPECT ->
@@ -118,13 +118,13 @@
     }
 
     /** Records that the suspect is sent to an upstream. */
-    void runsAlone(String upstream) {
+    void startIsolated(String upstream) {
       meters.count("crash.suspect-alone");
       suspectUpstreams.put(fingerprint(), upstream);
     }
 
     /** Records that the suspect is no longer open on its upstream. */
-    void isOver() {
+    void endIsolated() {
       suspectUpstreams.remove(fingerprint());
     }
 
@@ -132,7 +132,7 @@
      * Returns whether the request must not be retried within this try after its response was
      * interrupted: if the upstream turns out to have crashed, the request becomes a suspect.
      */
-    boolean stopsAfterBreak(String process) {
+    boolean blocksRetry(String process) {
       return !ledger.isEmpty() && ledger.isSuspectAfter(fingerprint(), process);
     }
 
@@ -142,7 +142,7 @@
      *
      * @param attemptStart the start time of the attempt
      */
-    void brokeOff(UpstreamSelection.Chosen chosen, Instant attemptStart) {
+    void responseInterrupted(UpstreamSelection.Chosen chosen, Instant attemptStart) {
       Instant interruptedAt = clock.instant();
       crashProbe.ifCrashed(
           chosen.row().process(),
--- a/org.oatlug/src/org/oatlug/internal/gateway/Exchange.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/Exchange.java
@@ -48,7 +48,7 @@
   private final Route route;
   private final Set<String> triedUpstreams = new HashSet<>();
   private final StreamRelay relay;
-  private final CrashGuard.Guarded guardedRequest;
+  private final CrashGuard.RequestGuard requestGuard;
   private long deadlineTimer = NO_TIMER;
   private int attemptsSent;
   private int attemptsNotSent;
@@ -65,7 +65,7 @@
     this.request = request;
     this.route = request.route();
     this.relay = StreamRelay.after(request.head().resumeAfter());
-    this.guardedRequest = parts.crashes().guard(request);
+    this.requestGuard = parts.crashes().guard(request);
   }
 
   /** Starts handling a request. */
@@ -129,21 +129,21 @@
   }
 
   /** Returns the crash guard's state of the request. */
-  CrashGuard.Guarded guardedRequest() {
-    return guardedRequest;
+  CrashGuard.RequestGuard requestGuard() {
+    return requestGuard;
   }
 
   /** Refuses the request if it is known to crash upstreams; returns whether it was refused. */
   private boolean refuseIfCrashing() {
-    Optional<Duration> retryAfter = guardedRequest.refusedFor();
+    Optional<Duration> retryAfter = requestGuard.retryDelay();
     retryAfter.ifPresent(
         delay -> {
           String text =
-              ErrorText.format(ErrorText.get().crashesUpstreams, guardedRequest.ended().size());
+              ErrorText.format(ErrorText.get().crashesUpstreams, requestGuard.ended().size());
           log()
               .log(
                   "refusing request %s, upstreams that it crashed: %s",
-                  guardedRequest, guardedRequest.ended());
+                  requestGuard, requestGuard.ended());
           giveUp(RefusalReason.CRASHES_UPSTREAMS, text, delay);
         });
     return retryAfter.isPresent();
@@ -165,7 +165,7 @@
   private void giveUpWithoutUpstream() {
     String service = request.service();
     RefusalReason reason =
-        parts.selection().standing().reasonOfNone(service, parts.clock().instant());
+        parts.selection().eligibility().refusalReason(service, parts.clock().instant());
     String pattern =
         switch (reason) {
           case ZONES_EMPTIED -> ErrorText.get().zonesEmptied;
@@ -227,15 +227,15 @@
 
   private Optional<UpstreamSelection.Chosen> chooseExcluding(
       Optional<String> model, Set<String> excluded) {
-    UpstreamSelection.Wanted wanted =
-        new UpstreamSelection.Wanted(
+    UpstreamSelection.Criteria wanted =
+        new UpstreamSelection.Criteria(
             request.service(),
             versionPreference,
             model,
             request.head().generation(),
             request.body().length(),
             Set.copyOf(excluded),
-            guardedRequest.isSuspect());
+            requestGuard.isSuspect());
     return parts.selection().choose(wanted, parts.clock().instant());
   }
 
@@ -378,8 +378,8 @@
   private Optional<Duration> retryAfterBackOff() {
     return parts
         .selection()
-        .standing()
-        .soonestRested(request.service(), parts.clock().instant())
+        .eligibility()
+        .shortestBackOff(request.service(), parts.clock().instant())
         .map(parts.spread()::after);
   }
 
--- a/org.oatlug/src/org/oatlug/internal/gateway/ExchangeAttempt.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/ExchangeAttempt.java
@@ -20,7 +20,7 @@
 import org.oatlug.gateway.WorkspaceKeys;
 import org.oatlug.internal.crash.CrashLedger.Verdict;
 import org.oatlug.internal.engine.HeadForecast;
-import org.oatlug.internal.gateway.UpstreamStanding.Out;
+import org.oatlug.internal.gateway.UpstreamEligibility.Exclusion;
 import org.oatlug.internal.routing.Urgency;
 
 /**
@@ -82,9 +82,9 @@
   void send() {
     feedback.begin();
     exchange.recordAttempt(chosen.name());
-    runsExclusively = exchange.guardedRequest().isSuspect();
+    runsExclusively = exchange.requestGuard().isSuspect();
     if (runsExclusively) {
-      exchange.guardedRequest().runsAlone(chosen.name());
+      exchange.requestGuard().startIsolated(chosen.name());
     }
     headers.addAll(request.headers());
     parts.adapter().upstreams().addTerms(headers, terms());
@@ -123,7 +123,7 @@
 
   /** Returns the current silence timeout of the upstream. */
   private Duration silenceTimeout() {
-    return response == null ? feedback.headPatience() : feedback.pausePatience();
+    return response == null ? feedback.headTimeout() : feedback.pauseTimeout();
   }
 
   /** Abandons the attempt after the silence timeout, if the request may be sent elsewhere. */
@@ -167,7 +167,7 @@
     if (!released) {
       released = true;
       if (runsExclusively) {
-        exchange.guardedRequest().isOver();
+        exchange.requestGuard().endIsolated();
       }
       feedback.end();
       bufferedAnswer.release();
@@ -195,11 +195,14 @@
       exchange.deadlinePassed();
       return false;
     }
-    if (exchange.guardedRequest().verdict() == Verdict.REFUSED) {
+    if (exchange.requestGuard().verdict() == Verdict.REFUSED) {
       return withhold("the request crashes upstreams", "crashes-upstreams");
     }
-    Optional<Out> exclusion =
-        parts.selection().standing().turnedOut(chosen.name(), parts.clock().instant());
+    Optional<Exclusion> exclusion =
+        parts
+            .selection()
+            .eligibility()
+            .exclusionBeforeWrite(chosen.name(), parts.clock().instant());
     if (exclusion.isEmpty()) {
       exclusion = feedback.write();
     }
@@ -224,7 +227,7 @@
     response = received;
     activityReceived();
     AnswerHead head = parts.adapter().upstreams().read(received);
-    feedback.headCame(head);
+    feedback.responseHeadReceived(head);
     if (!head.requestId().equals(Optional.of(request.head().id()))) {
       connection.cancel();
       failed(Progress.ANSWERING, "the answer belongs to another request");
@@ -238,7 +241,7 @@
     recordOutcome(failure);
     if (!failure) {
       logAnswerBegin();
-      feedback.speed();
+      feedback.recordTimeToHead();
     }
     if (failure && retryAfterFailure(head)) {
       return;
@@ -381,7 +384,7 @@
     }
     release();
     if (isDelimited()) {
-      exchange.guardedRequest().endedWell();
+      exchange.requestGuard().endedWell();
     }
     if (response.statusCode() < FIRST_SERVER_ERROR) {
       feedback.succeeded();
@@ -412,7 +415,7 @@
     feedback.failed();
     logEvent("failed " + progress + " " + problem + " request=" + request.fingerprint());
     if (progress == Progress.NOT_SENT) {
-      feedback.notReached();
+      feedback.connectFailed();
       exchange.retryUnsent("retry.upstream-not-reached");
       return;
     }
@@ -432,10 +435,10 @@
 
   /** Records that the answer broke off; returns true if a retry could crash another upstream. */
   private boolean recordBreak() {
-    boolean mustStop = exchange.guardedRequest().stopsAfterBreak(chosen.row().process());
+    boolean mustStop = exchange.requestGuard().blocksRetry(chosen.row().process());
     // An upstream that drains ends as planned, so the request did not crash it.
     if (!parts.tables().isLeaving(chosen.name())) {
-      exchange.guardedRequest().brokeOff(chosen, feedback.started());
+      exchange.requestGuard().responseInterrupted(chosen, feedback.started());
     }
     return mustStop;
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayParts.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayParts.java
@@ -119,7 +119,7 @@
         rates,
         crashes,
         UpstreamSelection.create(
-            settings.zone(), tables, speeds, reading, zones, rates, crashes::isSetApart, random),
+            settings.zone(), tables, speeds, reading, zones, rates, crashes::runsSuspect, random),
         ExpectedWorth.create(tables, times),
         versions,
         RetryBudgets.within(settings.bounds(), instances),
--- a/org.oatlug/src/org/oatlug/internal/gateway/RateGate.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RateGate.java
@@ -89,13 +89,13 @@
      *
      * @return the reason why it must not be written, empty if it may be
      */
-    Optional<UpstreamStanding.Out> write(Instant now) {
+    Optional<UpstreamEligibility.Exclusion> write(Instant now) {
       UpstreamRow row = tables.row(name);
       if (coldPermit.isEmpty() && !coldLimitAllows(upstream, row, now)) {
-        return Optional.of(UpstreamStanding.Out.COLD);
+        return Optional.of(UpstreamEligibility.Exclusion.COLD);
       }
       if (advertisedPermit.isEmpty() && !advertisedLimitAllows(upstream, row, now)) {
-        return Optional.of(UpstreamStanding.Out.LIMITED);
+        return Optional.of(UpstreamEligibility.Exclusion.LIMITED);
       }
       acquire(now);
       permits().forEach(permit -> permit.written(now));
--- a/org.oatlug/src/org/oatlug/internal/gateway/RouteExplanation.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RouteExplanation.java
@@ -125,8 +125,8 @@
         route.isCascade()
             ? Optional.of(route.models().get(parts.stages().first(route)))
             : Optional.empty();
-    UpstreamSelection.Wanted wanted =
-        new UpstreamSelection.Wanted(
+    UpstreamSelection.Criteria wanted =
+        new UpstreamSelection.Criteria(
             service, preference, firstModel, head.generation(), EMPTY_BODY_BYTES, Set.of(), false);
     return new Target(
         service,
@@ -137,7 +137,7 @@
   }
 
   private static List<Stage> stages(
-      GatewayParts parts, Route route, UpstreamSelection.Wanted wanted) {
+      GatewayParts parts, Route route, UpstreamSelection.Criteria wanted) {
     List<Stage> stages = new ArrayList<>();
     for (int stage = 0; stage < route.models().size(); stage++) {
       int confidence = minimumConfidence(parts, route, wanted, stage);
@@ -147,7 +147,7 @@
   }
 
   private static int minimumConfidence(
-      GatewayParts parts, Route route, UpstreamSelection.Wanted wanted, int stage) {
+      GatewayParts parts, Route route, UpstreamSelection.Criteria wanted, int stage) {
     for (int confidence = 0; confidence < MAXIMUM_CONFIDENCE; confidence++) {
       StageRule.Poor answer =
           new StageRule.Poor(
@@ -166,7 +166,7 @@
   }
 
   private static HeadForecast forecast(
-      GatewayParts parts, UpstreamSelection.Wanted wanted, String model) {
+      GatewayParts parts, UpstreamSelection.Criteria wanted, String model) {
     return parts
         .selection()
         .choose(wanted.of(model), parts.clock().instant())
@@ -174,7 +174,7 @@
         .orElse(HeadForecast.NEVER);
   }
 
-  private static List<Candidate> candidates(GatewayParts parts, UpstreamSelection.Wanted wanted) {
+  private static List<Candidate> candidates(GatewayParts parts, UpstreamSelection.Criteria wanted) {
     List<UpstreamSelection.Chosen> costs = parts.selection().costs(wanted, parts.clock().instant());
     List<Candidate> candidates = new ArrayList<>();
     for (String name : parts.tables().upstreamsOf(wanted.service())) {
@@ -186,7 +186,11 @@
               .findFirst();
       int load = parts.tables().row(name).expectedLoad();
       Optional<String> exclusionReason =
-          parts.selection().standing().outOf(name, parts.clock().instant()).map(Enum::name);
+          parts
+              .selection()
+              .eligibility()
+              .exclusionOf(name, parts.clock().instant())
+              .map(Enum::name);
       candidates.add(
           new Candidate(name, upstream.zone(), upstream.version(), load, cost, exclusionReason));
     }
--- a/org.oatlug/src/org/oatlug/internal/gateway/UpstreamStanding.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/UpstreamEligibility.java
@@ -21,33 +21,33 @@
  * <p>Invariant: the check before a request is written and the reasons reported to callers and
  * operators follow the same rule. Owned by one event loop, not thread-safe.
  */
-final class UpstreamStanding {
-  private static final Optional<Out> LEAVES = Optional.of(Out.LEAVES);
-  private static final Optional<Out> ZONE_EMPTIED = Optional.of(Out.ZONE_EMPTIED);
-  private static final Optional<Out> RESTS = Optional.of(Out.RESTS);
-  private static final Optional<Out> COLD = Optional.of(Out.COLD);
-  private static final Optional<Out> LIMITED = Optional.of(Out.LIMITED);
-  private static final Optional<Out> FULL = Optional.of(Out.FULL);
+final class UpstreamEligibility {
+  private static final Optional<Exclusion> LEAVES = Optional.of(Exclusion.LEAVES);
+  private static final Optional<Exclusion> ZONE_EMPTIED = Optional.of(Exclusion.ZONE_EMPTIED);
+  private static final Optional<Exclusion> RESTS = Optional.of(Exclusion.RESTS);
+  private static final Optional<Exclusion> COLD = Optional.of(Exclusion.COLD);
+  private static final Optional<Exclusion> LIMITED = Optional.of(Exclusion.LIMITED);
+  private static final Optional<Exclusion> FULL = Optional.of(Exclusion.FULL);
 
   /** Reasons that don't apply to a selected request: it has reserved its connection and permits. */
-  private static final Set<Out> RESERVED_BY_REQUEST =
-      Sets.immutableEnumSet(Out.FULL, Out.COLD, Out.LIMITED);
+  private static final Set<Exclusion> RESERVED_BY_REQUEST =
+      Sets.immutableEnumSet(Exclusion.FULL, Exclusion.COLD, Exclusion.LIMITED);
 
   private final GatewayTables tables;
   private final RateGate rates;
 
-  private UpstreamStanding(GatewayTables tables, RateGate rates) {
+  private UpstreamEligibility(GatewayTables tables, RateGate rates) {
     this.tables = tables;
     this.rates = rates;
   }
 
   /** Returns a check of the upstreams in the tables. */
-  static UpstreamStanding of(GatewayTables tables, RateGate rates) {
-    return new UpstreamStanding(tables, rates);
+  static UpstreamEligibility of(GatewayTables tables, RateGate rates) {
+    return new UpstreamEligibility(tables, rates);
   }
 
   /** The reason why an upstream receives no requests. */
-  enum Out {
+  enum Exclusion {
     /** It announced in its registration or a response that it is leaving, or is deregistered. */
     LEAVES("the upstream is leaving", "upstream-leaves"),
     /** Its availability zone is being drained. */
@@ -64,7 +64,7 @@
     private final String reason;
     private final String cause;
 
-    Out(String reason, String cause) {
+    Exclusion(String reason, String cause) {
       this.reason = reason;
       this.cause = cause;
     }
@@ -85,18 +85,18 @@
    * become unavailable while the connection was being opened. The connection is already reserved
    * for the request, and {@link RateGate.Reservation} checks the rate limits.
    */
-  Optional<Out> turnedOut(String name, Instant now) {
-    return outOf(name, now).filter(reason -> !RESERVED_BY_REQUEST.contains(reason));
+  Optional<Exclusion> exclusionBeforeWrite(String name, Instant now) {
+    return exclusionOf(name, now).filter(reason -> !RESERVED_BY_REQUEST.contains(reason));
   }
 
   /** Returns why the upstream receives no requests now, empty if it may receive them. */
-  Optional<Out> outOf(String name, Instant now) {
+  Optional<Exclusion> exclusionOf(String name, Instant now) {
     return tables
         .upstream(name)
         .map(
             upstream ->
-                outOf(upstream, tables.row(name), connectionLimitOf(upstream.service()), now))
-        .orElse(Optional.of(Out.LEAVES));
+                exclusionOf(upstream, tables.row(name), connectionLimitOf(upstream.service()), now))
+        .orElse(Optional.of(Exclusion.LEAVES));
   }
 
   /**
@@ -104,7 +104,8 @@
    *
    * @param connectionLimit its maximum number of connections, see {@link #connectionLimitOf}
    */
-  Optional<Out> outOf(UpstreamRecord upstream, UpstreamRow row, int connectionLimit, Instant now) {
+  Optional<Exclusion> exclusionOf(
+      UpstreamRecord upstream, UpstreamRow row, int connectionLimit, Instant now) {
     if (upstream.leaving() || row.leaving()) {
       return LEAVES;
     }
@@ -131,20 +132,20 @@
   }
 
   /** Returns the refusal reason for a service without eligible upstreams. */
-  RefusalReason reasonOfNone(String service, Instant now) {
-    Set<Out> reasons = EnumSet.noneOf(Out.class);
-    tables.upstreamsOf(service).forEach(name -> outOf(name, now).ifPresent(reasons::add));
-    if (reasons.contains(Out.COLD)) {
+  RefusalReason refusalReason(String service, Instant now) {
+    Set<Exclusion> reasons = EnumSet.noneOf(Exclusion.class);
+    tables.upstreamsOf(service).forEach(name -> exclusionOf(name, now).ifPresent(reasons::add));
+    if (reasons.contains(Exclusion.COLD)) {
       return RefusalReason.UPSTREAMS_COLD;
     }
-    if (reasons.contains(Out.RESTS)) {
+    if (reasons.contains(Exclusion.RESTS)) {
       return RefusalReason.UPSTREAMS_REST;
     }
     // A connection becomes free sooner than a rate limit admits another request.
-    if (reasons.contains(Out.LIMITED) && !reasons.contains(Out.FULL)) {
+    if (reasons.contains(Exclusion.LIMITED) && !reasons.contains(Exclusion.FULL)) {
       return RefusalReason.UPSTREAMS_LIMITED;
     }
-    return reasons.contains(Out.ZONE_EMPTIED)
+    return reasons.contains(Exclusion.ZONE_EMPTIED)
         ? RefusalReason.ZONES_EMPTIED
         : RefusalReason.NO_UPSTREAM;
   }
@@ -153,14 +154,14 @@
    * Returns the shortest remaining back-off time of the upstreams of a service, empty if one is
    * eligible now or none is backing off.
    */
-  Optional<Duration> soonestRested(String service, Instant now) {
+  Optional<Duration> shortestBackOff(String service, Instant now) {
     boolean anyEligible =
-        tables.upstreamsOf(service).stream().anyMatch(name -> outOf(name, now).isEmpty());
+        tables.upstreamsOf(service).stream().anyMatch(name -> exclusionOf(name, now).isEmpty());
     if (anyEligible) {
       return Optional.empty();
     }
     return tables.upstreamsOf(service).stream()
-        .filter(name -> outOf(name, now).equals(RESTS))
+        .filter(name -> exclusionOf(name, now).equals(RESTS))
         .map(name -> tables.row(name).restLeft(now))
         .min(Comparator.naturalOrder());
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/UpstreamSelection.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/UpstreamSelection.java
@@ -41,7 +41,7 @@
   private final EngineSpeeds speeds;
   private final OpenReading reading;
   private final ZoneReach zones;
-  private final UpstreamStanding standing;
+  private final UpstreamEligibility eligibility;
   private final Predicate<String> hasSuspect;
   private final RandomGenerator random;
 
@@ -59,7 +59,7 @@
     this.speeds = speeds;
     this.reading = reading;
     this.zones = zones;
-    this.standing = UpstreamStanding.of(tables, rates);
+    this.eligibility = UpstreamEligibility.of(tables, rates);
     this.hasSuspect = hasSuspect;
     this.random = random;
   }
@@ -92,7 +92,7 @@
    * @param excluded the upstreams that have already been tried
    * @param isolated whether the request has to run isolated from other requests
    */
-  record Wanted(
+  record Criteria(
       String service,
       Optional<VersionRule.Wish> version,
       Optional<String> model,
@@ -105,8 +105,8 @@
     }
 
     /** Returns the same criteria for another model. */
-    Wanted of(String newModel) {
-      return new Wanted(
+    Criteria of(String newModel) {
+      return new Criteria(
           service, version, Optional.of(newModel), generation, bodyBytes, excluded, isolated);
     }
   }
@@ -134,7 +134,7 @@
    * Returns the upstream with the lowest cost, empty if none is eligible. For a request that runs
    * isolated, the upstream with the lowest load comes first, so that a crash affects few requests.
    */
-  Optional<Chosen> choose(Wanted criteria, Instant now) {
+  Optional<Chosen> choose(Criteria criteria, Instant now) {
     Comparator<Chosen> byCost = Comparator.comparingDouble(Chosen::costMillis);
     Comparator<Chosen> order =
         criteria.isolated() ? byLowestLoad(now).thenComparing(byCost) : byCost;
@@ -148,7 +148,7 @@
   }
 
   /** Returns the upstreams that can be selected, with their costs, in no particular order. */
-  List<Chosen> costs(Wanted criteria, Instant now) {
+  List<Chosen> costs(Criteria criteria, Instant now) {
     List<Candidate> candidates = candidates(criteria, now);
     String home = homeOf(criteria, candidates);
     Optional<Prompt> prompt =
@@ -167,8 +167,8 @@
   }
 
   /** Returns the check of whether an upstream may receive requests. */
-  UpstreamStanding standing() {
-    return standing;
+  UpstreamEligibility eligibility() {
+    return eligibility;
   }
 
   private HeadForecast forecast(Candidate candidate, Prompt prompt, String home, Instant now) {
@@ -198,7 +198,7 @@
    * awaiting an order; if there are none, all that satisfy the constraint; if there are none of
    * those, all of any version, provided that the constraint allows it.
    */
-  private List<Candidate> candidates(Wanted criteria, Instant now) {
+  private List<Candidate> candidates(Criteria criteria, Instant now) {
     List<Candidate> matching =
         eligible(
             criteria,
@@ -212,7 +212,7 @@
         : matching;
   }
 
-  private boolean allowsAnyVersion(Wanted criteria) {
+  private boolean allowsAnyVersion(Criteria criteria) {
     VersionRule.Firmness firmness =
         criteria.version().map(VersionRule.Wish::firmness).orElse(VersionRule.Firmness.REQUIRED);
     return switch (firmness) {
@@ -225,7 +225,7 @@
   }
 
   /** Returns whether the upstream, tried or not, satisfies the version constraint and stays. */
-  private boolean remainsInService(Wanted criteria, String name) {
+  private boolean remainsInService(Criteria criteria, String name) {
     UpstreamRecord upstream = tables.upstream(name).orElseThrow();
     return criteria.matchesVersion(upstream)
         && !tables.isLeaving(name)
@@ -233,14 +233,14 @@
   }
 
   private List<Candidate> eligible(
-      Wanted criteria, Predicate<UpstreamRecord> versionFilter, Instant now) {
+      Criteria criteria, Predicate<UpstreamRecord> versionFilter, Instant now) {
     List<Candidate> candidates = new ArrayList<>();
-    int connectionLimit = standing.connectionLimitOf(criteria.service());
+    int connectionLimit = eligibility.connectionLimitOf(criteria.service());
     for (String name : tables.upstreamsOf(criteria.service())) {
       UpstreamRecord upstream = tables.upstream(name).orElseThrow();
       UpstreamRow row = tables.row(name);
       boolean isCandidate = !criteria.excluded().contains(name) && versionFilter.test(upstream);
-      if (isCandidate && standing.outOf(upstream, row, connectionLimit, now).isEmpty()) {
+      if (isCandidate && eligibility.exclusionOf(upstream, row, connectionLimit, now).isEmpty()) {
         candidates.add(new Candidate(name, upstream, row));
       }
     }
@@ -252,7 +252,7 @@
    * one home for all zones if another prefill of the prefix costs more than a request to another
    * zone, otherwise one home per zone.
    */
-  private String homeOf(Wanted criteria, List<Candidate> candidates) {
+  private String homeOf(Criteria criteria, List<Candidate> candidates) {
     List<PromptPart> parts = criteria.generation().map(Generation::prompt).orElse(List.of());
     if (parts.size() < 2) {
       return "";
