--- a/org.oatlug.entry/src/org/oatlug/entry/GatewayInstance.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/GatewayInstance.java
@@ -23,13 +23,13 @@
 import org.oatlug.internal.config.ObjectJoin;
 import org.oatlug.internal.config.ObjectSink;
 import org.oatlug.internal.config.Origin;
-import org.oatlug.internal.gateway.CallerFront;
-import org.oatlug.internal.gateway.GatewayParts;
+import org.oatlug.internal.gateway.GatewayComponents;
+import org.oatlug.internal.gateway.GatewayServer;
 import org.oatlug.internal.gateway.GatewayTables;
 import org.oatlug.internal.gateway.GatheredKnowledge;
 import org.oatlug.internal.gateway.InspectionServer;
+import org.oatlug.internal.gateway.ReadinessGate;
 import org.oatlug.internal.gateway.RolloutDirector;
-import org.oatlug.internal.gateway.StartGate;
 import org.oatlug.internal.gather.GatherSystem;
 import org.oatlug.internal.limit.RankedSenders;
 import org.oatlug.internal.membership.Membership;
@@ -81,12 +81,12 @@
   private final Instant startedAt = clock.instant();
   private GatewaySettings settings;
   private Membership membership;
-  private CallerFront front;
+  private GatewayServer front;
   private TcpPeers listener;
   private List<TickSystem> systems = List.of();
   private Optional<Instant> listeningAt = Optional.empty();
   private Optional<Instant> servingAt = Optional.empty();
-  private StartGate gate;
+  private ReadinessGate gate;
   private boolean stopping;
 
   GatewayInstance(GatewaySettings settings, DeploymentAdapter adapter) {
@@ -111,12 +111,12 @@
     membership = Membership.create(self, clock, random);
     membership.seeds(seedsOf(settings));
     Meters meters = Meters.of(new MetricRegistry());
-    GatewayParts parts = wire(meters);
+    GatewayComponents parts = wire(meters);
     return listen(InspectionServer.create(vertx, meters, this::isReady), parts);
   }
 
   /** Opens the sockets, the callers' one first, and starts the systems. */
-  private Future<?> listen(InspectionServer inspection, GatewayParts parts) {
+  private Future<?> listen(InspectionServer inspection, GatewayComponents parts) {
     // The callers' server is the first one: it takes over the socket that was opened for it.
     final Future<?> callers = front.listen();
     listener.listen().onFailure(failure -> logger.atSevere().withCause(failure).log("peers"));
@@ -150,7 +150,7 @@
   }
 
   /** Makes the parts of the instance and tells them of each other. */
-  private GatewayParts wire(Meters meters) {
+  private GatewayComponents wire(Meters meters) {
     Platform platform = CountedPlatform.of(adapter.platform(vertx, settings), meters);
     LatePeers late = new LatePeers();
     listener = TcpPeers.create(vertx, peerSettings(), membership::self, late);
@@ -161,8 +161,8 @@
         RolloutDirector.create(tables, platform, membership, clock, meters, settings.bounds());
     RankedSenders senders =
         RankedSenders.create(settings.name(), membership::live, membership::knowsOfOthers, clock);
-    GatewayParts parts =
-        GatewayParts.create(
+    GatewayComponents parts =
+        GatewayComponents.create(
             vertx,
             settings,
             clock,
@@ -188,16 +188,16 @@
             configuration,
             (from, message) -> Uni.createFrom().item(gathering.handle(from, message))));
     gate =
-        StartGate.create(
+        ReadinessGate.create(
             clock,
             () -> tables.configuration().isPresent(),
             () -> configuration.hasReadAll() && configuration.isInSync(),
             () ->
-                !tables.isBringingIn()
+                !tables.hasRunningRollout()
                     || gathering.hasMet()
-                    || gathering.isInformed() && rollouts.knowsAges());
-    front = CallerFront.create(parts, random, gate::isOpen);
-    PauseWatch pause = PauseWatch.create(clock, parts::stoodStill);
+                    || gathering.isInformed() && rollouts.knowsOrderAges());
+    front = GatewayServer.create(parts, random, gate::isOpen);
+    PauseWatch pause = PauseWatch.create(clock, parts::handleProcessPause);
     systems =
         List.of(
             pause::check,
@@ -263,7 +263,7 @@
     if (gate.opens()) {
       servingAt = Optional.of(clock.instant());
       tables.allRead();
-      front.started();
+      front.startWaitingRequests();
       noteStarted();
     }
   }
@@ -303,11 +303,11 @@
     context.runOnContext(
         unused -> {
           logger.atInfo().log(
-              "instance %s stops as planned, %d open", settings.name(), front.open());
+              "instance %s stops as planned, %d open", settings.name(), front.openRequests());
           stopping = true;
           membership.leave();
           long grace = settings.bounds().grace().minus(CUT_BEFORE_END).toMillis();
-          front.beginStop(clock.instant().plusMillis(grace));
+          front.beginShutdown(clock.instant().plusMillis(grace));
           vertx.setTimer(BALANCER_LAG.toMillis(), timer -> finishOpen(promise));
           vertx.setTimer(Math.max(1, grace), timer -> endGrace(promise));
         });
@@ -315,11 +315,11 @@
   }
 
   private void finishOpen(Promise<Void> promise) {
-    front.closeResting();
+    front.closeIdleConnections();
     vertx.setPeriodic(
         STOP_POLL_MILLIS,
         timer -> {
-          if (front.open() == 0) {
+          if (front.openRequests() == 0) {
             vertx.cancelTimer(timer);
             promise.tryComplete();
           }
@@ -327,8 +327,9 @@
   }
 
   private void endGrace(Promise<Void> promise) {
-    logger.atInfo().log("instance %s ends its grace, %d cut", settings.name(), front.open());
-    front.cutAll();
+    logger.atInfo().log(
+        "instance %s ends its grace, %d cut", settings.name(), front.openRequests());
+    front.closeAllConnections();
     vertx.setTimer(STOP_POLL_MILLIS, timer -> promise.tryComplete());
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/CallerLeftTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/CallerLeftTest.java
@@ -28,11 +28,11 @@
 public class CallerLeftTest {
   private static final int TIMEOUT_SECONDS = 10;
 
-  private HeldUpFront front;
+  private GatewayServerFixture front;
 
   @BeforeMethod
   void begin() {
-    front = new HeldUpFront();
+    front = new GatewayServerFixture();
   }
 
   @AfterMethod
@@ -41,12 +41,12 @@
   }
 
   private static Socket send(int port, String id) throws IOException {
-    Socket socket = new Socket(HeldUpFront.HOST, port);
+    Socket socket = new Socket(GatewayServerFixture.HOST, port);
     String text =
         "POST "
             + SampleObjects.ONCE
             + "1 HTTP/1.1\r\nHost: "
-            + HeldUpFront.HOST
+            + GatewayServerFixture.HOST
             + "\r\nAttempt-Id: "
             + id
             + "\r\nRequest-Deadline: 5000\r\nContent-Length: 6\r\n\r\na body";
@@ -70,7 +70,7 @@
     CountDownLatch chosen = new CountDownLatch(1);
     CountDownLatch disconnected = new CountDownLatch(1);
     AtomicInteger choices = new AtomicInteger();
-    front.afterChoice(
+    front.onChoice(
         () -> {
           if (choices.getAndIncrement() == 0) {
             chosen.countDown();
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayDecisionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayDecisionTest.java
@@ -124,20 +124,20 @@
   }
 
   private UpstreamSelection.Criteria criteria(
-      Optional<VersionRule.Wish> constraint, Set<String> excluded) {
+      Optional<VersionRule.VersionPreference> constraint, Set<String> excluded) {
     return new UpstreamSelection.Criteria(
         "pool", constraint, Optional.empty(), Optional.empty(), 0, excluded, false);
   }
 
-  private RateGate unlimitedGate() {
+  private UpstreamRateLimits unlimitedGate() {
     return gate(AdvertisedLimits.create(clock), RateSenders.alone());
   }
 
-  private RateGate gate(AdvertisedLimits limits, RateSenders senders) {
+  private UpstreamRateLimits gate(AdvertisedLimits limits, RateSenders senders) {
     GatewaySettings.Bounds bounds =
         new GatewaySettings.Bounds(
             Duration.ofSeconds(8), 0.9, 52, 0.15, Duration.ofSeconds(5), 1.5, 5);
-    return RateGate.create(tables, bounds, limits, senders);
+    return UpstreamRateLimits.create(tables, bounds, limits, senders);
   }
 
   /** A connection becomes free soon; callers must not get the long delay of a limited upstream. */
@@ -174,7 +174,8 @@
         new Random(1));
   }
 
-  private Optional<String> choose(Optional<VersionRule.Wish> constraint, Set<String> excluded) {
+  private Optional<String> choose(
+      Optional<VersionRule.VersionPreference> constraint, Set<String> excluded) {
     UpstreamSelection selection = selection();
     return selection
         .choose(criteria(constraint, excluded), now)
@@ -207,12 +208,12 @@
 
   @Test
   public void testBodiesAreHeldWithinTheMemoryLimit() {
-    HeldBytes held = HeldBytes.within(100);
-    assertTrue(held.take(60));
-    assertFalse(held.take(41));
-    assertEquals(held.held(), 60);
-    held.give(60);
-    assertTrue(held.take(100));
+    BodyMemoryBudget budget = BodyMemoryBudget.within(100);
+    assertTrue(budget.tryReserve(60));
+    assertFalse(budget.tryReserve(41));
+    assertEquals(budget.reservedBytes(), 60);
+    budget.releaseBytes(60);
+    assertTrue(budget.tryReserve(100));
   }
 
   @Test
@@ -292,11 +293,13 @@
   @Test
   public void testRequiredVersionIsEnforcedAndPreferredVersionIsNot() {
     upstream("i-1", "here", "v1", false);
-    VersionRule.Wish preferred =
-        new VersionRule.Wish("v2", true, VersionRule.Firmness.PREFERRED, Optional.empty());
+    VersionRule.VersionPreference preferred =
+        new VersionRule.VersionPreference(
+            "v2", true, VersionRule.Firmness.PREFERRED, Optional.empty());
     assertEquals(choose(Optional.of(preferred), Set.of()), Optional.of("i-1"));
-    VersionRule.Wish notV1 =
-        new VersionRule.Wish("v1", false, VersionRule.Firmness.REQUIRED, Optional.empty());
+    VersionRule.VersionPreference notV1 =
+        new VersionRule.VersionPreference(
+            "v1", false, VersionRule.Firmness.REQUIRED, Optional.empty());
     assertEquals(choose(Optional.of(notV1), Set.of()), Optional.empty());
   }
 
@@ -305,8 +308,8 @@
   public void testKeptVersionIsReplacedOnceItHasNoUpstreams() {
     upstream("i-1", "here", "v1", false);
     upstream("i-2", "here", "v2", false);
-    VersionRule.Wish kept =
-        new VersionRule.Wish("v2", true, VersionRule.Firmness.KEPT, Optional.empty());
+    VersionRule.VersionPreference kept =
+        new VersionRule.VersionPreference("v2", true, VersionRule.Firmness.KEPT, Optional.empty());
     assertEquals(choose(Optional.of(kept), Set.of()), Optional.of("i-2"));
     assertEquals(choose(Optional.of(kept), Set.of("i-2")), Optional.empty());
     upstream("i-2", "here", "v2", true);
@@ -423,7 +426,7 @@
   @Test
   public void testUncertainResponseIsAcceptedIfEscalationDelaysOthers() {
     configuration(1, "k");
-    AnswerTimes times = AnswerTimes.create(clock);
+    ResponseTimes times = ResponseTimes.create(clock);
     assertEquals(escalation(times, 40, 50), OptionalInt.of(2));
     assertEquals(escalation(times, 40, 900), OptionalInt.empty());
     assertEquals(
@@ -434,18 +437,18 @@
   public void testEscalationOnRouteWithoutGoal() {
     configuration(1, "k");
     Route withoutGoal = route("a", "/x/", 0);
-    assertEquals(escalation(withoutGoal, AnswerTimes.create(clock), 0, 300), OptionalInt.of(2));
+    assertEquals(escalation(withoutGoal, ResponseTimes.create(clock), 0, 300), OptionalInt.of(2));
   }
 
-  private OptionalInt escalation(AnswerTimes times, int confidence, int prefillMillis) {
+  private OptionalInt escalation(ResponseTimes times, int confidence, int prefillMillis) {
     return escalation(route("a", "/x/"), times, confidence, prefillMillis);
   }
 
   private OptionalInt escalation(
-      Route route, AnswerTimes times, int confidence, int prefillMillis) {
-    return ExpectedWorth.create(tables, times)
-        .insteadOf(
-            new StageRule.Poor(
+      Route route, ResponseTimes times, int confidence, int prefillMillis) {
+    return ExpectedValueRule.create(tables, times)
+        .replacementStage(
+            new StageRule.LowConfidenceAnswer(
                 route,
                 "pool",
                 generation(1000, 300),
@@ -455,11 +458,11 @@
                 model -> new HeadForecast(0, prefillMillis, 1000, true)));
   }
 
-  private OptionalInt escalation(AnswerTimes times, int stage, int confidence, long elapsed) {
+  private OptionalInt escalation(ResponseTimes times, int stage, int confidence, long elapsed) {
     Route route = route("a", "/x/");
-    ExpectedWorth rule = ExpectedWorth.create(tables, times);
-    return rule.insteadOf(
-        new StageRule.Poor(
+    ExpectedValueRule rule = ExpectedValueRule.create(tables, times);
+    return rule.replacementStage(
+        new StageRule.LowConfidenceAnswer(
             route,
             "pool",
             generation(1000, 300),
@@ -472,11 +475,12 @@
   @Test
   public void testPoorResponseIsReplacedOnlyIfEscalationHasHigherValue() {
     configuration(1, "k");
-    AnswerTimes times = AnswerTimes.create(clock);
+    ResponseTimes times = ResponseTimes.create(clock);
     assertEquals(escalation(times, 0, 10, 100), OptionalInt.of(2));
     assertEquals(escalation(times, 0, 90, 100), OptionalInt.empty());
     assertEquals(escalation(times, 2, 10, 100), OptionalInt.empty());
-    AnswerTimes.Key slowKey = new AnswerTimes.Key(route("a", "/x/"), "large", EXPECTED_HEAD_TIME);
+    ResponseTimes.Key slowKey =
+        new ResponseTimes.Key(route("a", "/x/"), "large", EXPECTED_HEAD_TIME);
     for (int response = 0; response < 200; response++) {
       times.recordHeadTime(slowKey, Duration.ofMillis(5000));
     }
@@ -486,10 +490,10 @@
 
   @Test
   public void testHeadTimeoutGrowsWithPromptAndSlowResponses() {
-    AnswerTimes times = AnswerTimes.create(clock);
+    ResponseTimes times = ResponseTimes.create(clock);
     Route route = route("a", "/x/");
-    AnswerTimes.Key smallPrompt = new AnswerTimes.Key(route, "large", Duration.ofMillis(200));
-    AnswerTimes.Key largePrompt = new AnswerTimes.Key(route, "large", Duration.ofSeconds(30));
+    ResponseTimes.Key smallPrompt = new ResponseTimes.Key(route, "large", Duration.ofMillis(200));
+    ResponseTimes.Key largePrompt = new ResponseTimes.Key(route, "large", Duration.ofSeconds(30));
     assertEquals(times.headTimeout(smallPrompt), Duration.ofMillis(2500));
     for (int response = 0; response < 100; response++) {
       times.recordHeadTime(smallPrompt, Duration.ofMillis(300));
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/HeldUpFront.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayServerFixture.java
@@ -40,7 +40,7 @@
  * A server for callers in this process, with upstreams, that can be interrupted while it chooses an
  * upstream. Stops what it started on close; used from one thread.
  */
-final class HeldUpFront implements AutoCloseable {
+final class GatewayServerFixture implements AutoCloseable {
   static final String HOST = "127.0.0.1";
 
   /** The route timeout, longer than any test waits. */
@@ -49,13 +49,13 @@
   private volatile Duration suspendedTime = Duration.ZERO;
   private final GatewayTables tables = GatewayTables.create(this::now);
   private final Vertx vertx = Vertx.vertx();
-  private volatile Runnable afterChoice = () -> {};
+  private volatile Runnable onChoice = () -> {};
   private long revision;
-  private GatewayParts parts;
+  private GatewayComponents parts;
 
   /** Sets an action to run on the event loop during each choice among candidate upstreams. */
-  void afterChoice(Runnable action) {
-    afterChoice = action;
+  void onChoice(Runnable action) {
+    onChoice = action;
   }
 
   private Instant now() {
@@ -69,7 +69,7 @@
 
   /** Notifies the instance that it was suspended. */
   void notifySuspension() {
-    vertx.runOnContext(unused -> parts.stoodStill());
+    vertx.runOnContext(unused -> parts.handleProcessPause());
   }
 
   private void put(String kind, String name, Object value) {
@@ -95,7 +95,7 @@
   }
 
   /** Marks the upstream as draining. */
-  void leaves(String name) {
+  void markDraining(String name) {
     UpstreamRecord upstream = tables.upstream(name).orElseThrow();
     if (!upstream.leaving()) {
       put(GatewayKinds.UPSTREAM, name, record(upstream.port(), upstream.zone(), true));
@@ -103,7 +103,7 @@
   }
 
   /** Makes the upstream ask to back off for the given time. */
-  void rests(String name, Duration time) {
+  void askToBackOff(String name, Duration time) {
     tables.row(name).restUntil(now().plus(time));
   }
 
@@ -142,11 +142,11 @@
     GatewaySettings settings = SettingsFile.readGateway(file);
     RandomGenerator interruptedChoice =
         () -> {
-          afterChoice.run();
+          onChoice.run();
           return 0;
         };
     parts =
-        GatewayParts.create(
+        GatewayComponents.create(
             vertx,
             settings,
             this::now,
@@ -157,7 +157,7 @@
             () -> 1,
             interruptedChoice,
             Meters.of(new MetricRegistry()));
-    CallerFront.create(parts, new Random(1), () -> true)
+    GatewayServer.create(parts, new Random(1), () -> true)
         .listen()
         .toCompletionStage()
         .toCompletableFuture()
@@ -173,7 +173,8 @@
   /** Allows every version, as without a roll-out. */
   private static final class AnyVersion implements VersionRule {
     @Override
-    public Optional<Wish> wishFor(String service, RequestHead head, Tried tried) {
+    public Optional<VersionPreference> preferenceFor(
+        String service, RequestHead head, PriorAttempts tried) {
       return Optional.empty();
     }
 
@@ -184,7 +185,7 @@
     public void answered(Answer answer) {}
 
     @Override
-    public void paced(Pace pace) {}
+    public void recordEventInterval(Pace pace) {}
 
     @Override
     public List<RolloutStatus> status() {
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/LeavingUpstreamTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/LeavingUpstreamTest.java
@@ -28,11 +28,11 @@
   private static final String NEAR = "near";
   private static final String FAR = "far";
 
-  private HeldUpFront front;
+  private GatewayServerFixture front;
 
   @BeforeMethod
   void begin() {
-    front = new HeldUpFront();
+    front = new GatewayServerFixture();
   }
 
   @AfterMethod
@@ -41,7 +41,8 @@
   }
 
   private static HttpResponse<String> send(int port) throws IOException, InterruptedException {
-    URI uri = URI.create("http://" + HeldUpFront.HOST + ":" + port + SampleObjects.ONCE + "1");
+    URI uri =
+        URI.create("http://" + GatewayServerFixture.HOST + ":" + port + SampleObjects.ONCE + "1");
     HttpRequest request =
         HttpRequest.newBuilder(uri)
             .header("Attempt-Id", "request-1")
@@ -56,7 +57,7 @@
     final UpstreamStandin near = front.addUpstream(NEAR, "hall-a");
     final UpstreamStandin far = front.addUpstream(FAR, "hall-b");
     int port = front.listen();
-    front.afterChoice(() -> front.leaves(NEAR));
+    front.onChoice(() -> front.markDraining(NEAR));
     assertEquals(send(port).statusCode(), 200);
     assertEquals(near.arrivals().size(), 0, "requests at the leaving upstream");
     assertEquals(far.arrivals().size(), 1, "requests at the other upstream");
@@ -68,7 +69,7 @@
     final UpstreamStandin near = front.addUpstream(NEAR, "hall-a");
     final UpstreamStandin far = front.addUpstream(FAR, "hall-b");
     int port = front.listen();
-    front.afterChoice(() -> front.rests(NEAR, Duration.ofMinutes(1)));
+    front.onChoice(() -> front.askToBackOff(NEAR, Duration.ofMinutes(1)));
     assertEquals(send(port).statusCode(), 200);
     assertEquals(near.arrivals().size(), 0, "requests at the upstream that asked to back off");
     assertEquals(far.arrivals().size(), 1, "requests at the other upstream");
@@ -78,7 +79,7 @@
   public void testRequestIsRefusedAsNotRunWithoutAnotherUpstream() throws Exception {
     final UpstreamStandin near = front.addUpstream(NEAR, "hall-a");
     int port = front.listen();
-    front.afterChoice(() -> front.leaves(NEAR));
+    front.onChoice(() -> front.markDraining(NEAR));
     assertEquals(send(port).statusCode(), 503);
     assertEquals(near.arrivals().size(), 0, "requests at the leaving upstream");
   }
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/StartGateTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/ReadinessGateTest.java
@@ -10,19 +10,19 @@
 import org.testng.annotations.Test;
 
 /** Tests the conditions under which a starting instance begins to serve. */
-public class StartGateTest {
+public class ReadinessGateTest {
   private Instant now = Instant.parse("2026-12-02T12:00:00Z");
   private boolean configured;
   private boolean ordersRead;
   private boolean sessionsKnown;
 
-  private StartGate gate() {
-    return StartGate.create(() -> now, () -> configured, () -> ordersRead, () -> sessionsKnown);
+  private ReadinessGate gate() {
+    return ReadinessGate.create(() -> now, () -> configured, () -> ordersRead, () -> sessionsKnown);
   }
 
   @Test
   public void testAllThreeConditionsAreRequired() {
-    final StartGate gate = gate();
+    final ReadinessGate gate = gate();
     ordersRead = true;
     sessionsKnown = true;
     assertFalse(gate.opens());
@@ -38,7 +38,7 @@
 
   @Test
   public void testGateOpensAfterMaximumWaitWithoutOrders() {
-    StartGate gate = gate();
+    ReadinessGate gate = gate();
     now = now.plusSeconds(60);
     assertFalse(gate.opens(), "an instance cannot serve without a configuration");
     configured = true;
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/RolloutDecisionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/RolloutDecisionTest.java
@@ -157,19 +157,19 @@
 
   @Test
   public void testPaceIsReportedOnceAndNotForStreamThatWaitsForItsCaller() {
-    StreamPace pace = new StreamPace();
+    StreamEventInterval pace = new StreamEventInterval();
     assertTrue(pace.add(1, now).isEmpty());
     for (int event = 1; event < 7; event++) {
       assertTrue(pace.add(1, now.plusMillis(50L * event)).isEmpty());
     }
     assertEquals(pace.add(1, now.plusMillis(350)).orElseThrow(), 50.0);
     assertTrue(pace.end().isEmpty());
-    StreamPace waiting = new StreamPace();
+    StreamEventInterval waiting = new StreamEventInterval();
     waiting.add(2, now);
-    waiting.spoil();
+    waiting.discard();
     waiting.add(9, now.plusMillis(900));
     assertTrue(waiting.end().isEmpty());
-    StreamPace brief = new StreamPace();
+    StreamEventInterval brief = new StreamEventInterval();
     brief.add(1, now);
     brief.add(2, now.plusMillis(60));
     assertEquals(brief.end().orElseThrow(), 30.0);
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/ReplicatedSessionsTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/SessionVersionCacheTest.java
@@ -14,14 +14,14 @@
 import org.testng.annotations.Test;
 
 /** Tests which sessions are replicated to other instances, how often, and when they expire. */
-public class ReplicatedSessionsTest {
+public class SessionVersionCacheTest {
   private static final Duration PAUSE = Duration.ofSeconds(5);
   private static final String SERVICE = "pool";
 
   private final Instant start = Instant.parse("2026-12-02T12:00:00Z");
 
-  private static ReplicatedSessions sessions() {
-    return ReplicatedSessions.withPause(PAUSE, session -> session < 10);
+  private static SessionVersionCache sessions() {
+    return SessionVersionCache.withPause(PAUSE, session -> session < 10);
   }
 
   private static SeenSession seenNow(long session, String version) {
@@ -30,7 +30,7 @@
 
   @Test
   public void testSessionThatWouldMoveIsReplicatedOncePerPause() {
-    ReplicatedSessions replicated = sessions();
+    SessionVersionCache replicated = sessions();
     replicated.recordLocal(SERVICE, 1, "v1", start);
     replicated.recordLocal(SERVICE, 99, "v1", start);
     assertEquals(replicated.drainPending(start), List.of(seenNow(1, "v1")));
@@ -43,7 +43,7 @@
 
   @Test
   public void testSessionThatMovedIsReplicatedImmediately() {
-    ReplicatedSessions replicated = sessions();
+    SessionVersionCache replicated = sessions();
     replicated.recordLocal(SERVICE, 1, "v1", start);
     assertEquals(replicated.drainPending(start), List.of(seenNow(1, "v1")));
     Instant later = start.plusMillis(300);
@@ -55,7 +55,7 @@
 
   @Test
   public void testSessionThatIsReplicatedAgainStaysKnown() {
-    ReplicatedSessions replicated = sessions();
+    SessionVersionCache replicated = sessions();
     Instant now = start;
     for (int pause = 0; pause < 10; pause++) {
       now = start.plus(PAUSE.multipliedBy(pause));
@@ -67,7 +67,7 @@
 
   @Test
   public void testLatestObservationWinsWhicheverInstanceMadeIt() {
-    ReplicatedSessions replicated = sessions();
+    SessionVersionCache replicated = sessions();
     replicated.recordLocal(SERVICE, 1, "v1", start);
     Instant now = start.plusMillis(800);
     replicated.recordRemote(new SeenSession(SERVICE, 1, "v2", 900), now);
@@ -79,7 +79,7 @@
   /** A new collector receives all sessions, including those replicated from other instances. */
   @Test
   public void testNewCollectorReceivesAllUnexpiredSessions() {
-    ReplicatedSessions replicated = sessions();
+    SessionVersionCache replicated = sessions();
     replicated.recordLocal(SERVICE, 1, "v1", start);
     replicated.recordRemote(seenNow(2, "v2"), start);
     replicated.recordLocal(SERVICE, 99, "v1", start);
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/SuspendedRequestTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/SuspendedRequestTest.java
@@ -33,13 +33,13 @@
   /** Less than the time left on a timer that does not count the suspension. */
   private static final long WAIT_SECONDS = 30;
 
-  private HeldUpFront front;
+  private GatewayServerFixture front;
   private UpstreamStandin upstream;
   private int port;
 
   @BeforeMethod
   void begin() throws Exception {
-    front = new HeldUpFront();
+    front = new GatewayServerFixture();
     upstream = front.addUpstream("near", "hall-a");
     port = front.listen();
   }
@@ -50,7 +50,8 @@
   }
 
   private CompletableFuture<HttpResponse<String>> send() {
-    URI uri = URI.create("http://" + HeldUpFront.HOST + ":" + port + SampleObjects.ONCE + "1");
+    URI uri =
+        URI.create("http://" + GatewayServerFixture.HOST + ":" + port + SampleObjects.ONCE + "1");
     HttpRequest request =
         HttpRequest.newBuilder(uri)
             .header("Attempt-Id", "request-1")
@@ -62,7 +63,7 @@
 
   @Test
   public void testRequestIsForwardedWithTheRemainingTime() throws Exception {
-    front.afterChoice(() -> front.suspend(SUSPENDED));
+    front.onChoice(() -> front.suspend(SUSPENDED));
     assertEquals(send().get(WAIT_SECONDS, TimeUnit.SECONDS).statusCode(), 200);
     String remainingMillis = upstream.arrivals().get(0).header("Request-Deadline").orElseThrow();
     Duration maximum = DEADLINE.minus(SUSPENDED);
@@ -73,7 +74,7 @@
 
   @Test
   public void testRequestPastItsDeadlineIsNotForwarded() throws Exception {
-    front.afterChoice(() -> front.suspend(DEADLINE));
+    front.onChoice(() -> front.suspend(DEADLINE));
     HttpResponse<String> answer = send().get(WAIT_SECONDS, TimeUnit.SECONDS);
     assertEquals(answer.statusCode(), 503);
     assertEquals(upstream.arrivals().size(), 0);
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/KnownVersionsTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/VersionRegistryTest.java
@@ -10,14 +10,14 @@
 import org.testng.annotations.Test;
 
 /** Tests which versions count as lacking a roll-out order. */
-public class KnownVersionsTest {
+public class VersionRegistryTest {
   private static final String SERVICE = "pool";
 
-  private KnownVersions versions;
+  private VersionRegistry versions;
 
   @BeforeMethod
   void setUp() {
-    versions = KnownVersions.create();
+    versions = VersionRegistry.create();
     versions.added(SERVICE, "v1");
   }
 
@@ -25,8 +25,8 @@
   public void testVersionsKnownBeforeInitialReadCountAsOrdered() {
     versions.added(SERVICE, "v2");
     versions.completeInitialRead();
-    assertFalse(versions.isUnordered(SERVICE, "v1"));
-    assertFalse(versions.isUnordered(SERVICE, "v2"));
+    assertFalse(versions.lacksRolloutOrder(SERVICE, "v1"));
+    assertFalse(versions.lacksRolloutOrder(SERVICE, "v2"));
   }
 
   @Test
@@ -34,10 +34,10 @@
     versions.completeInitialRead();
     versions.added(SERVICE, "v2");
     versions.added("other", "v2");
-    assertTrue(versions.isUnordered(SERVICE, "v2"));
-    assertFalse(versions.isUnordered("other", "v2"));
+    assertTrue(versions.lacksRolloutOrder(SERVICE, "v2"));
+    assertFalse(versions.lacksRolloutOrder("other", "v2"));
     versions.recordOrder(SERVICE, "v2");
-    assertFalse(versions.isUnordered(SERVICE, "v2"));
+    assertFalse(versions.lacksRolloutOrder(SERVICE, "v2"));
   }
 
   @Test
@@ -45,7 +45,7 @@
     versions.completeInitialRead();
     versions.recordOrder(SERVICE, "v2");
     versions.added(SERVICE, "v2");
-    assertFalse(versions.isUnordered(SERVICE, "v2"));
+    assertFalse(versions.lacksRolloutOrder(SERVICE, "v2"));
   }
 
   @Test
@@ -53,7 +53,7 @@
     versions.completeInitialRead();
     versions.added(SERVICE, "v2");
     versions.removed(SERVICE, "v1");
-    assertFalse(versions.isUnordered(SERVICE, "v2"));
+    assertFalse(versions.lacksRolloutOrder(SERVICE, "v2"));
   }
 
   /** During an outage of the store entries expire, and they are registered again after it. */
@@ -63,7 +63,7 @@
     versions.added(SERVICE, "v2");
     versions.removed(SERVICE, "v1");
     versions.added(SERVICE, "v1");
-    assertFalse(versions.isUnordered(SERVICE, "v1"));
+    assertFalse(versions.lacksRolloutOrder(SERVICE, "v1"));
   }
 
   /** When an entry is replaced, the new state is added before the previous one is removed. */
@@ -73,7 +73,7 @@
     versions.added(SERVICE, "v2");
     versions.added(SERVICE, "v1");
     versions.removed(SERVICE, "v1");
-    assertFalse(versions.isUnordered(SERVICE, "v1"));
-    assertTrue(versions.isUnordered(SERVICE, "v2"));
+    assertFalse(versions.lacksRolloutOrder(SERVICE, "v1"));
+    assertTrue(versions.lacksRolloutOrder(SERVICE, "v2"));
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/test/KeptVersionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/KeptVersionTest.java
@@ -26,8 +26,8 @@
 import org.oatlug.internal.gateway.RolloutDirector;
 import org.oatlug.internal.gateway.VersionRule;
 import org.oatlug.internal.gateway.VersionRule.Firmness;
-import org.oatlug.internal.gateway.VersionRule.Tried;
-import org.oatlug.internal.gateway.VersionRule.Wish;
+import org.oatlug.internal.gateway.VersionRule.PriorAttempts;
+import org.oatlug.internal.gateway.VersionRule.VersionPreference;
 import org.oatlug.internal.membership.Membership;
 import org.oatlug.internal.metrics.Meters;
 import org.oatlug.internal.peer.Member;
@@ -83,12 +83,12 @@
         Optional.empty());
   }
 
-  private Wish wishFor(String session, Tried tried) {
-    return director.wishFor(SERVICE, requestOf(session), tried).orElseThrow();
+  private VersionPreference preferenceFor(String session, PriorAttempts tried) {
+    return director.preferenceFor(SERVICE, requestOf(session), tried).orElseThrow();
   }
 
-  private static Tried failedAt(String version, Wish first) {
-    return new Tried(Optional.of(version), first.basis());
+  private static PriorAttempts failedAt(String version, VersionPreference first) {
+    return new PriorAttempts(Optional.of(version), first.basis());
   }
 
   /** Lets so many answers of the new version fail, which makes it suspicious but not refuted. */
@@ -108,12 +108,12 @@
     director.sent(SERVICE, NEW, requestOf("s"));
     suspect();
     clock.advance(Duration.ofSeconds(1));
-    Wish first = wishFor("s", Tried.NOTHING);
-    assertTrue(first.isMetBy(NEW));
+    VersionPreference first = preferenceFor("s", PriorAttempts.NOTHING);
+    assertTrue(first.isSatisfiedBy(NEW));
     assertEquals(first.firmness(), Firmness.KEPT);
     director.sent(SERVICE, NEW, requestOf("s"));
-    Wish second = wishFor("s", failedAt(NEW, first));
-    assertTrue(second.isMetBy(NEW));
+    VersionPreference second = preferenceFor("s", failedAt(NEW, first));
+    assertTrue(second.isSatisfiedBy(NEW));
     assertEquals(second.firmness(), Firmness.KEPT);
   }
 
@@ -121,24 +121,24 @@
   public void testSessionThatBeginsMayGoElsewhereAfterItsFirstFailure() {
     clock.advance(ORDERED.multipliedBy(8).dividedBy(10));
     suspect();
-    Wish first = wishFor("s", Tried.NOTHING);
-    assertTrue(first.isMetBy(NEW));
+    VersionPreference first = preferenceFor("s", PriorAttempts.NOTHING);
+    assertTrue(first.isSatisfiedBy(NEW));
     assertEquals(first.firmness(), Firmness.PREFERRED);
     director.sent(SERVICE, NEW, requestOf("s"));
-    Wish second = wishFor("s", failedAt(NEW, first));
-    assertFalse(second.isMetBy(NEW));
+    VersionPreference second = preferenceFor("s", failedAt(NEW, first));
+    assertFalse(second.isSatisfiedBy(NEW));
   }
 
   @Test
   public void testSessionOfTheOldVersionIsKeptInTheFirstHalfAndMayMoveLater() {
     director.sent(SERVICE, OLD, requestOf("s"));
     clock.advance(ORDERED.multipliedBy(4).dividedBy(10));
-    Wish early = wishFor("s", Tried.NOTHING);
-    assertFalse(early.isMetBy(NEW));
+    VersionPreference early = preferenceFor("s", PriorAttempts.NOTHING);
+    assertFalse(early.isSatisfiedBy(NEW));
     assertEquals(early.firmness(), Firmness.KEPT);
     clock.advance(ORDERED.multipliedBy(4).dividedBy(10));
-    Wish late = wishFor("s", Tried.NOTHING);
-    assertTrue(late.isMetBy(NEW));
+    VersionPreference late = preferenceFor("s", PriorAttempts.NOTHING);
+    assertTrue(late.isSatisfiedBy(NEW));
     assertEquals(late.firmness(), Firmness.PREFERRED);
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/test/RolloutFleet.java
+++ b/org.oatlug.test/tst/org/oatlug/test/RolloutFleet.java
@@ -30,8 +30,8 @@
 import org.oatlug.gateway.ServiceRollout;
 import org.oatlug.internal.crash.CrashLedger;
 import org.oatlug.internal.gateway.GatewayTables;
+import org.oatlug.internal.gateway.ReadinessGate;
 import org.oatlug.internal.gateway.RolloutDirector;
-import org.oatlug.internal.gateway.StartGate;
 import org.oatlug.internal.gateway.VersionRule;
 import org.oatlug.internal.gather.Account;
 import org.oatlug.internal.gather.GatherSystem;
@@ -116,7 +116,7 @@
     private final GatewayTables tables;
     private final RolloutDirector director;
     private final GatherSystem gathering;
-    private final StartGate gate;
+    private final ReadinessGate gate;
 
     private Instance(Member self, Duration clockError) {
       InstantSource clock = () -> time.instant().plus(clockError);
@@ -129,14 +129,14 @@
               membership, this::ask, clock, meters, this, CrashLedger.create(clock));
       director.onRefuted(gathering::tellNow);
       gate =
-          StartGate.create(
+          ReadinessGate.create(
               clock,
               () -> true,
               () -> true,
               () ->
-                  !tables.isBringingIn()
+                  !tables.hasRunningRollout()
                       || gathering.hasMet()
-                      || gathering.isInformed() && director.knowsAges());
+                      || gathering.isInformed() && director.knowsOrderAges());
     }
 
     String name() {
@@ -191,7 +191,8 @@
               Optional.of(session),
               OptionalLong.empty(),
               Optional.empty());
-      Optional<VersionRule.Wish> wish = director.wishFor(SERVICE, head, VersionRule.Tried.NOTHING);
+      Optional<VersionRule.VersionPreference> wish =
+          director.preferenceFor(SERVICE, head, VersionRule.PriorAttempts.NOTHING);
       boolean wantsNew = wish.map(one -> one.version().equals(NEW) == one.wanted()).orElse(false);
       String version = wantsNew ? NEW : OLD;
       director.sent(SERVICE, version, head);
--- a/org.oatlug.test/tst/org/oatlug/test/RolloutRaceTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/RolloutRaceTest.java
@@ -172,7 +172,7 @@
     return instances.stream().allMatch(instance -> wishOf(instance).wanted() == wanted);
   }
 
-  private static VersionRule.Wish wishOf(Instance instance) {
+  private static VersionRule.VersionPreference wishOf(Instance instance) {
     RequestHead head =
         new RequestHead(
             "id",
@@ -183,6 +183,9 @@
             Optional.empty(),
             OptionalLong.empty(),
             Optional.empty());
-    return instance.director.wishFor(SERVICE, head, VersionRule.Tried.NOTHING).orElseThrow();
+    return instance
+        .director
+        .preferenceFor(SERVICE, head, VersionRule.PriorAttempts.NOTHING)
+        .orElseThrow();
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/Admission.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/Admission.java
@@ -36,11 +36,11 @@
   /** Bytes of a header besides its name and value: colon, space and line break. */
   private static final int SEPARATOR_BYTES = 4;
 
-  private final GatewayParts parts;
+  private final GatewayComponents parts;
   private final BooleanSupplier ready;
   private Optional<PlannedStop> stop = Optional.empty();
 
-  private Admission(GatewayParts parts, BooleanSupplier ready) {
+  private Admission(GatewayComponents parts, BooleanSupplier ready) {
     this.parts = parts;
     this.ready = ready;
   }
@@ -50,7 +50,7 @@
    *
    * @param ready whether the instance is ready to serve
    */
-  static Admission create(GatewayParts parts, BooleanSupplier ready) {
+  static Admission create(GatewayComponents parts, BooleanSupplier ready) {
     return new Admission(parts, ready);
   }
 
@@ -83,7 +83,7 @@
    *
    * @param abortAt the time at which open requests are aborted
    */
-  void beginStop(Instant abortAt) {
+  void beginShutdown(Instant abortAt) {
     stop = Optional.of(new PlannedStop(parts.clock().instant().plus(STOP_GRACE_PERIOD), abortAt));
   }
 
@@ -175,7 +175,7 @@
 
   /** Reserves memory for a part of a body, or refuses it; the caller has to release it. */
   void hold(long bytes) throws RefusedException {
-    if (!parts.held().take(bytes)) {
+    if (!parts.bodyMemory().tryReserve(bytes)) {
       throw new RefusedException(
           Refusal.retryAfter(RefusalReason.OVERLOADED, ErrorText.get().overloaded, RETRY_DELAY));
     }
--- a/org.oatlug/src/org/oatlug/internal/gateway/Incoming.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/AdmittedRequest.java
@@ -28,7 +28,7 @@
  * @param arrived the time at which its head arrived
  * @param deadline the time by which its final answer is due
  */
-record Incoming(
+record AdmittedRequest(
     RequestHead head,
     Route route,
     String service,
--- a/org.oatlug/src/org/oatlug/internal/gateway/AttemptFeedback.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/AttemptFeedback.java
@@ -22,23 +22,23 @@
 final class AttemptFeedback {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  private final GatewayParts parts;
-  private final Incoming incoming;
+  private final GatewayComponents parts;
+  private final AdmittedRequest request;
   private final UpstreamSelection.Chosen chosen;
   private final String model;
   private final String process;
   private final Instant started;
-  private Optional<RateGate.Reservation> reservation = Optional.empty();
+  private Optional<UpstreamRateLimits.Reservation> reservation = Optional.empty();
   private Optional<Instant> writtenAt = Optional.empty();
   private boolean promptQueued;
 
   AttemptFeedback(
-      GatewayParts parts,
-      Incoming incoming,
+      GatewayComponents parts,
+      AdmittedRequest request,
       UpstreamSelection.Chosen chosen,
       Optional<String> model) {
     this.parts = parts;
-    this.incoming = incoming;
+    this.request = request;
     this.chosen = chosen;
     this.model = model.orElse("");
     this.process = chosen.row().process();
@@ -65,8 +65,8 @@
     reservation = Optional.of(parts.rates().reserve(chosen.name(), chosen.upstream(), started));
     promptQueued = true;
     parts.reading().begin(process, chosen.forecast().readingMillis());
-    parts.versions().sent(incoming.service(), chosen.upstream().version(), incoming.head());
-    incoming
+    parts.versions().sent(request.service(), chosen.upstream().version(), request.head());
+    request
         .head()
         .generation()
         .ifPresent(generation -> UpstreamSelection.recordPrompt(chosen.row(), model, generation));
@@ -164,7 +164,7 @@
   void end() {
     dequeuePrompt();
     chosen.row().release();
-    reservation.ifPresent(RateGate.Reservation::release);
+    reservation.ifPresent(UpstreamRateLimits.Reservation::release);
   }
 
   /** Records a success of the upstream. */
@@ -193,9 +193,9 @@
         .versions()
         .answered(
             new VersionRule.Answer(
-                incoming.service(),
+                request.service(),
                 chosen.upstream().version(),
-                incoming.route(),
+                request.route(),
                 model,
                 bad,
                 took()));
@@ -205,11 +205,11 @@
   void pace(double millisPerEvent) {
     parts
         .versions()
-        .paced(
+        .recordEventInterval(
             new VersionRule.Pace(
-                incoming.service(),
+                request.service(),
                 chosen.upstream().version(),
-                incoming.route(),
+                request.route(),
                 model,
                 millisPerEvent));
   }
@@ -241,7 +241,7 @@
     return parts.times().pauseTimeout(timesKey());
   }
 
-  private AnswerTimes.Key timesKey() {
-    return new AnswerTimes.Key(incoming.route(), model, chosen.forecast().timeToHead());
+  private ResponseTimes.Key timesKey() {
+    return new ResponseTimes.Key(request.route(), model, chosen.forecast().timeToHead());
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/HeldBytes.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/BodyMemoryBudget.java
@@ -8,43 +8,43 @@
  *
  * <p>Invariant: the bytes held never exceed the limit. Owned by one event loop, not thread-safe.
  */
-final class HeldBytes {
+final class BodyMemoryBudget {
   /** Three eighths of the 64 MB heap with which an instance is deployed. */
   private static final long DEFAULT_MAXIMUM_BYTES = 24L * 1024 * 1024;
 
   private final long maximumBytes;
-  private long held;
+  private long reservedBytes;
 
-  private HeldBytes(long maximumBytes) {
+  private BodyMemoryBudget(long maximumBytes) {
     this.maximumBytes = maximumBytes;
   }
 
   /** Returns a limit of the default size. */
-  static HeldBytes create() {
-    return new HeldBytes(DEFAULT_MAXIMUM_BYTES);
+  static BodyMemoryBudget create() {
+    return new BodyMemoryBudget(DEFAULT_MAXIMUM_BYTES);
   }
 
   /** Returns a limit of the given size in bytes. */
-  static HeldBytes within(long maximumBytes) {
-    return new HeldBytes(maximumBytes);
+  static BodyMemoryBudget within(long maximumBytes) {
+    return new BodyMemoryBudget(maximumBytes);
   }
 
   /** Reserves the bytes; returns false and reserves nothing if that would exceed the limit. */
-  boolean take(long bytes) {
-    if (held + bytes > maximumBytes) {
+  boolean tryReserve(long bytes) {
+    if (reservedBytes + bytes > maximumBytes) {
       return false;
     }
-    held += bytes;
+    reservedBytes += bytes;
     return true;
   }
 
   /** Releases bytes that were reserved. */
-  void give(long bytes) {
-    held -= bytes;
+  void releaseBytes(long bytes) {
+    reservedBytes -= bytes;
   }
 
   /** Returns the number of bytes now reserved. */
-  long held() {
-    return held;
+  long reservedBytes() {
+    return reservedBytes;
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/BufferedAnswer.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/BufferedResponse.java
@@ -12,28 +12,28 @@
  *
  * <p>The answer is buffered until it is complete, so that another attempt can replace it if it
  * breaks off; an answer too large to buffer is forwarded in parts. Invariant: the buffered bytes
- * count in {@link HeldBytes} until {@link #release}. Used from one event loop.
+ * count in {@link BodyMemoryBudget} until {@link #release}. Used from one event loop.
  */
-final class BufferedAnswer {
+final class BufferedResponse {
   /**
    * The number of bytes to buffer before an answer is forwarded in parts: many times the usual
    * answer of a service, and little compared to the heap.
    */
   private static final int MAXIMUM_BUFFERED_BYTES = 256 * 1024;
 
-  private final GatewayParts parts;
-  private final CallerAnswer answer;
+  private final GatewayComponents parts;
+  private final CallerResponse answer;
   private final Buffer body = Buffer.buffer();
   private boolean forwarded;
 
-  private BufferedAnswer(GatewayParts parts, CallerAnswer answer) {
+  private BufferedResponse(GatewayComponents parts, CallerResponse answer) {
     this.parts = parts;
     this.answer = answer;
   }
 
   /** Returns an empty buffer for an answer. */
-  static BufferedAnswer create(GatewayParts parts, CallerAnswer answer) {
-    return new BufferedAnswer(parts, answer);
+  static BufferedResponse create(GatewayComponents parts, CallerResponse answer) {
+    return new BufferedResponse(parts, answer);
   }
 
   /**
@@ -43,7 +43,7 @@
    */
   void append(HttpClientResponse response, Buffer part, Consumer<Buffer> writer) {
     boolean fits = body.length() + part.length() <= MAXIMUM_BUFFERED_BYTES;
-    if (!answer.isBegun() && fits && parts.held().take(part.length())) {
+    if (!answer.isBegun() && fits && parts.bodyMemory().tryReserve(part.length())) {
       body.appendBuffer(part);
       return;
     }
@@ -71,6 +71,6 @@
 
   /** Returns the buffered bytes to the shared limit; to be called once. */
   void release() {
-    parts.held().give(body.length());
+    parts.bodyMemory().releaseBytes(body.length());
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/CallerAnswer.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/CallerResponse.java
@@ -18,7 +18,7 @@
  * <p>Invariants: nothing is written after the end; an answer that was begun and cannot be completed
  * is aborted by closing the connection, so that it never looks complete. Used from one event loop.
  */
-final class CallerAnswer {
+final class CallerResponse {
   private static final String CONTENT_LENGTH = "Content-Length";
   private static final double MILLIS_PER_SECOND = 1000;
 
@@ -26,7 +26,7 @@
   private final HttpServerResponse response;
   private boolean ended;
 
-  CallerAnswer(HttpServerRequest request) {
+  CallerResponse(HttpServerRequest request) {
     this.request = request;
     this.response = request.response();
   }
@@ -116,7 +116,7 @@
       return;
     }
     ended = true;
-    Problem.send(response, refusal, requestId, CallerAnswer::formatSeconds);
+    Problem.send(response, refusal, requestId, CallerResponse::formatSeconds);
   }
 
   /** Closes the connection, so that a partial answer does not look complete. */
--- a/org.oatlug/src/org/oatlug/internal/gateway/CrashGuard.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/CrashGuard.java
@@ -58,8 +58,8 @@
   }
 
   /** Returns the guard for one try of a request. */
-  RequestGuard guard(Incoming incoming) {
-    return new RequestGuard(incoming);
+  RequestGuard guard(AdmittedRequest request) {
+    return new RequestGuard(request);
   }
 
   /** Returns whether a suspect runs on the upstream. */
@@ -75,17 +75,17 @@
 
   /** Guards one try of a request. */
   final class RequestGuard {
-    private final Incoming incoming;
+    private final AdmittedRequest request;
     private Optional<String> fingerprint = Optional.empty();
 
-    private RequestGuard(Incoming incoming) {
-      this.incoming = incoming;
+    private RequestGuard(AdmittedRequest request) {
+      this.request = request;
     }
 
     /** Returns the fingerprint; it is computed once, and only if the ledger is not empty. */
     private String fingerprint() {
       if (fingerprint.isEmpty()) {
-        fingerprint = Optional.of(incoming.fingerprint());
+        fingerprint = Optional.of(request.fingerprint());
       }
       return fingerprint.get();
     }
@@ -155,7 +155,7 @@
       meters.count("crash.upstream-ended");
       chosen.row().ended(interruptedAt);
       ledger.upstreamEnded(
-          fingerprint(), incoming.subject(), chosen.row().process(), attemptStart, interruptedAt);
+          fingerprint(), request.subject(), chosen.row().process(), attemptStart, interruptedAt);
     }
 
     /** Records that the request completed with a whole response. */
--- a/org.oatlug/src/org/oatlug/internal/gateway/OpenDeadlines.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/DeadlineTimers.java
@@ -18,21 +18,21 @@
  * suspension they would fire late by its length. Invariant: each action runs once, unless it is
  * cancelled before. Used from one event loop.
  */
-final class OpenDeadlines {
+final class DeadlineTimers {
   private final Vertx vertx;
   private final InstantSource clock;
   private final Map<Long, ScheduledAction> scheduled = new LinkedHashMap<>();
 
   private record ScheduledAction(Instant deadline, Runnable action) {}
 
-  private OpenDeadlines(Vertx vertx, InstantSource clock) {
+  private DeadlineTimers(Vertx vertx, InstantSource clock) {
     this.vertx = vertx;
     this.clock = clock;
   }
 
   /** Returns an instance without timers. */
-  static OpenDeadlines create(Vertx vertx, InstantSource clock) {
-    return new OpenDeadlines(vertx, clock);
+  static DeadlineTimers create(Vertx vertx, InstantSource clock) {
+    return new DeadlineTimers(vertx, clock);
   }
 
   /** Schedules an action at a deadline; returns the ID with which to cancel it. */
@@ -58,7 +58,7 @@
   }
 
   /** Runs overdue actions, as after a suspension, and reschedules the others by the clock. */
-  void setAnew() {
+  void rescheduleAll() {
     Instant now = clock.instant();
     for (Map.Entry<Long, ScheduledAction> entry : List.copyOf(scheduled.entrySet())) {
       long remainingMillis = Duration.between(now, entry.getValue().deadline()).toMillis();
--- a/org.oatlug/src/org/oatlug/internal/gateway/Exchange.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/Exchange.java
@@ -42,9 +42,9 @@
 
   private static final long NO_TIMER = -1;
 
-  private final GatewayParts parts;
-  private final CallerAnswer answer;
-  private final Incoming request;
+  private final GatewayComponents parts;
+  private final CallerResponse answer;
+  private final AdmittedRequest request;
   private final Route route;
   private final Set<String> triedUpstreams = new HashSet<>();
   private final StreamRelay relay;
@@ -55,11 +55,11 @@
   private int stage;
   private boolean mayHaveRun;
   private Optional<String> lastFailedVersion = Optional.empty();
-  private Optional<VersionRule.Wish> versionPreference = Optional.empty();
-  private Optional<VersionBasis> firstBasis = Optional.empty();
+  private Optional<VersionRule.VersionPreference> versionPreference = Optional.empty();
+  private Optional<VersionDecisionInputs> firstBasis = Optional.empty();
   private ExchangeAttempt currentAttempt;
 
-  private Exchange(GatewayParts parts, CallerAnswer answer, Incoming request) {
+  private Exchange(GatewayComponents parts, CallerResponse answer, AdmittedRequest request) {
     this.parts = parts;
     this.answer = answer;
     this.request = request;
@@ -69,7 +69,7 @@
   }
 
   /** Starts handling a request. */
-  static void start(GatewayParts parts, CallerAnswer answer, Incoming request) {
+  static void start(GatewayComponents parts, CallerResponse answer, AdmittedRequest request) {
     new Exchange(parts, answer, request).start();
   }
 
@@ -85,7 +85,7 @@
   }
 
   /** Sends the request to its first upstream; returns false if it could no longer be served. */
-  boolean begin() {
+  boolean sendFirst() {
     if (answer.isEnded()) {
       return false;
     }
@@ -101,15 +101,15 @@
     return true;
   }
 
-  GatewayParts parts() {
+  GatewayComponents parts() {
     return parts;
   }
 
-  CallerAnswer answer() {
+  CallerResponse answer() {
     return answer;
   }
 
-  Incoming request() {
+  AdmittedRequest request() {
     return request;
   }
 
@@ -183,7 +183,7 @@
   }
 
   private Duration retryAfterAtAcceptedRate(String service) {
-    double accepted = parts.rates().advertisedOf(service);
+    double accepted = parts.rates().totalAdvertisedRate(service);
     return parts.spread().paced(service, accepted, parts.clock().instant());
   }
 
@@ -195,8 +195,8 @@
   }
 
   /** Logs why the request is sent to this version during a roll-out. */
-  private void logVersionChoice(VersionRule.Wish preference, String version) {
-    boolean satisfied = preference.isMetBy(version);
+  private void logVersionChoice(VersionRule.VersionPreference preference, String version) {
+    boolean satisfied = preference.isSatisfiedBy(version);
     if (!satisfied) {
       parts.meters().count("version.wish-not-met");
     }
@@ -215,9 +215,11 @@
   }
 
   private Optional<UpstreamSelection.Chosen> choose(Optional<String> model) {
-    VersionRule.Tried history = new VersionRule.Tried(lastFailedVersion, firstBasis);
-    versionPreference = parts.versions().wishFor(request.service(), request.head(), history);
-    firstBasis = firstBasis.or(() -> versionPreference.flatMap(VersionRule.Wish::basis));
+    VersionRule.PriorAttempts history =
+        new VersionRule.PriorAttempts(lastFailedVersion, firstBasis);
+    versionPreference = parts.versions().preferenceFor(request.service(), request.head(), history);
+    firstBasis =
+        firstBasis.or(() -> versionPreference.flatMap(VersionRule.VersionPreference::basis));
     Optional<UpstreamSelection.Chosen> untried = chooseExcluding(model, triedUpstreams);
     if (untried.isPresent() || currentAttempt == null || !route.isRepeatable()) {
       return untried;
@@ -299,8 +301,8 @@
     Map<String, Optional<UpstreamSelection.Chosen>> choices = new HashMap<>();
     Function<String, Optional<UpstreamSelection.Chosen>> upstreamOf =
         name -> choices.computeIfAbsent(name, modelName -> choose(Optional.of(modelName)));
-    StageRule.Poor droppableAnswer =
-        new StageRule.Poor(
+    StageRule.LowConfidenceAnswer droppableAnswer =
+        new StageRule.LowConfidenceAnswer(
             route,
             request.service(),
             generation(),
@@ -312,7 +314,7 @@
                     .apply(name)
                     .map(UpstreamSelection.Chosen::forecast)
                     .orElse(HeadForecast.NEVER));
-    OptionalInt nextStage = parts.stages().insteadOf(droppableAnswer);
+    OptionalInt nextStage = parts.stages().replacementStage(droppableAnswer);
     if (nextStage.isEmpty()) {
       return Optional.empty();
     }
--- a/org.oatlug/src/org/oatlug/internal/gateway/ExchangeAttempt.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/ExchangeAttempt.java
@@ -26,30 +26,30 @@
 /**
  * One attempt of an exchange at one upstream, and the handling of its answer.
  *
- * <p>{@link UpstreamAttempt} owns the connection; this class decides whether the answer is
+ * <p>{@link UpstreamConnection} owns the connection; this class decides whether the answer is
  * accepted, dropped or requested again; {@link AttemptFeedback} records what the attempt reveals
  * about the upstream. Invariant: once an answer to the caller has begun, it continues only with the
  * events that follow. Used from one event loop.
  */
-final class ExchangeAttempt implements UpstreamAttempt.Listener {
+final class ExchangeAttempt implements UpstreamConnection.Listener {
   private static final String EVENT_STREAM_TYPE = "text/event-stream";
   private static final int FIRST_SERVER_ERROR = 500;
   private static final int OK = 200;
 
   private final Exchange exchange;
-  private final GatewayParts parts;
-  private final Incoming request;
+  private final GatewayComponents parts;
+  private final AdmittedRequest request;
   private final Route route;
-  private final CallerAnswer answer;
+  private final CallerResponse answer;
   private final StreamRelay relay;
   private final UpstreamSelection.Chosen chosen;
   private final Optional<String> model;
   private final AttemptFeedback feedback;
-  private final BufferedAnswer bufferedAnswer;
-  private final SilenceWatch silenceWatch;
-  private final StreamPace streamPace = new StreamPace();
+  private final BufferedResponse bufferedAnswer;
+  private final IdleTimeout silenceWatch;
+  private final StreamEventInterval streamPace = new StreamEventInterval();
   private final MultiMap headers = MultiMap.caseInsensitiveMultiMap();
-  private UpstreamAttempt connection;
+  private UpstreamConnection connection;
   private HttpClientResponse response;
   private boolean streaming;
   private boolean released;
@@ -65,8 +65,8 @@
     this.chosen = chosen;
     this.model = model;
     this.feedback = new AttemptFeedback(parts, request, chosen, model);
-    this.bufferedAnswer = BufferedAnswer.create(parts, answer);
-    this.silenceWatch = SilenceWatch.create(parts, this::silenceTimeout, this::retryElsewhere);
+    this.bufferedAnswer = BufferedResponse.create(parts, answer);
+    this.silenceWatch = IdleTimeout.create(parts, this::silenceTimeout, this::retryElsewhere);
   }
 
   String upstreamName() {
@@ -89,7 +89,7 @@
     headers.addAll(request.headers());
     parts.adapter().upstreams().addTerms(headers, terms());
     logSent();
-    connection = UpstreamAttempt.start(parts.client(), outgoingRequest(), this);
+    connection = UpstreamConnection.start(parts.client(), outgoingRequest(), this);
     if (route.isRepeatable() && !released) {
       silenceWatch.start();
     }
@@ -114,10 +114,10 @@
         forecast.timeToHead().toMillis());
   }
 
-  private UpstreamAttempt.OutgoingRequest outgoingRequest() {
+  private UpstreamConnection.OutgoingRequest outgoingRequest() {
     SocketAddress address =
         SocketAddress.inetSocketAddress(chosen.upstream().port(), chosen.upstream().host());
-    return new UpstreamAttempt.OutgoingRequest(
+    return new UpstreamConnection.OutgoingRequest(
         address, request.method(), request.uri(), headers, request.body(), request.hasBody());
   }
 
@@ -355,7 +355,7 @@
 
   private void write(Buffer data) {
     if (answer.write(data, this::drained)) {
-      streamPace.spoil();
+      streamPace.discard();
       silenceWatch.pause();
       connection.pause();
     }
--- a/org.oatlug/src/org/oatlug/internal/gateway/ExpectedWorth.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/ExpectedValueRule.java
@@ -21,7 +21,7 @@
  * less the price of the model. So a loaded pool, whose responses begin late, receives fewer
  * escalations before any request is refused. Owned by one event loop, not thread-safe.
  */
-final class ExpectedWorth implements StageRule {
+final class ExpectedValueRule implements StageRule {
   /** Confidence, 0 to 100, at which half of the responses are good. */
   private static final double EVEN_ODDS_CONFIDENCE = 43;
 
@@ -56,16 +56,16 @@
   private static final double QUEUEING_LOSS = 2.0;
 
   private final GatewayTables tables;
-  private final AnswerTimes times;
+  private final ResponseTimes times;
 
-  private ExpectedWorth(GatewayTables tables, AnswerTimes times) {
+  private ExpectedValueRule(GatewayTables tables, ResponseTimes times) {
     this.tables = tables;
     this.times = times;
   }
 
   /** Returns a rule that uses the prices in the tables and the measured times. */
-  static ExpectedWorth create(GatewayTables tables, AnswerTimes times) {
-    return new ExpectedWorth(tables, times);
+  static ExpectedValueRule create(GatewayTables tables, ResponseTimes times) {
+    return new ExpectedValueRule(tables, times);
   }
 
   @Override
@@ -74,7 +74,7 @@
   }
 
   @Override
-  public OptionalInt insteadOf(Poor answer) {
+  public OptionalInt replacementStage(LowConfidenceAnswer answer) {
     int largest = answer.route().models().size() - 1;
     if (answer.stage() >= largest) {
       return OptionalInt.empty();
@@ -101,20 +101,20 @@
    * it, and the longer it takes, the more of them are late. It is zero on a route without a goal,
    * where no response counts as late.
    */
-  private static double queueingLoss(Poor answer, HeadForecast forecast) {
+  private static double queueingLoss(LowConfidenceAnswer answer, HeadForecast forecast) {
     long goal = answer.route().goalMillis();
     return goal > 0 ? QUEUEING_LOSS * forecast.readingMillis() / goal : 0;
   }
 
-  private double expectedValue(Poor answer, String model, HeadForecast forecast) {
+  private double expectedValue(LowConfidenceAnswer answer, String model, HeadForecast forecast) {
     Duration remaining = Duration.ofMillis(answer.route().goalMillis()).minus(answer.elapsed());
-    AnswerTimes.Key key = new AnswerTimes.Key(answer.route(), model, forecast.timeToHead());
+    ResponseTimes.Key key = new ResponseTimes.Key(answer.route(), model, forecast.timeToHead());
     double inTimeProbability = times.probabilityOfHeadWithin(key, remaining);
     return inTimeProbability + (1 - inTimeProbability) * LATE_VALUE;
   }
 
   /** Returns the price of the model for the request relative to the credit of the request. */
-  private double relativePrice(Poor answer, String model) {
+  private double relativePrice(LowConfidenceAnswer answer, String model) {
     Generation generation = answer.generation();
     double promptTokens = generation.promptTokens();
     double outputTokens = generation.lengthHint().orElse(generation.maximumTokens());
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayParts.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayComponents.java
@@ -43,11 +43,11 @@
  * @param turns the queue of requests that have not started
  * @param spread spreads the retry times of refused callers
  * @param times the measured times of answers
- * @param held the memory held by request bodies, in bytes
+ * @param bodyMemory the memory held by request bodies, in bytes
  * @param logLimit limits the rate of log lines about requests
  * @param meters the counters
  */
-public record GatewayParts(
+public record GatewayComponents(
     Vertx vertx,
     GatewaySettings settings,
     InstantSource clock,
@@ -58,23 +58,23 @@
     OpenReading reading,
     ZoneReach zones,
     AdvertisedLimits limits,
-    RateGate rates,
+    UpstreamRateLimits rates,
     CrashGuard crashes,
     UpstreamSelection selection,
     StageRule stages,
     VersionRule versions,
     RetryBudgets budgets,
-    OpenDeadlines deadlines,
+    DeadlineTimers deadlines,
     TurnLine<Exchange> turns,
-    ReturnSpread spread,
-    AnswerTimes times,
-    HeldBytes held,
-    LogLimit logLimit,
+    RetryAfterJitter spread,
+    ResponseTimes times,
+    BodyMemoryBudget bodyMemory,
+    LogRateLimit logLimit,
     Meters meters) {
   /** Handles a pause of the process, which its timers may not have counted. */
-  public void stoodStill() {
+  public void handleProcessPause() {
     meters.count("pause");
-    deadlines.setAnew();
+    deadlines.rescheduleAll();
   }
 
   /** Returns the ledger of requests under which upstreams crashed, as seen by all instances. */
@@ -87,7 +87,7 @@
    *
    * @param instances the number of instances believed to be alive, including this one
    */
-  public static GatewayParts create(
+  public static GatewayComponents create(
       Vertx vertx,
       GatewaySettings settings,
       InstantSource clock,
@@ -98,19 +98,20 @@
       IntSupplier instances,
       RandomGenerator random,
       Meters meters) {
-    AnswerTimes times = AnswerTimes.create(clock);
+    ResponseTimes times = ResponseTimes.create(clock);
     EngineSpeeds speeds = EngineSpeeds.create();
     OpenReading reading = OpenReading.create();
     ZoneReach zones = ZoneReach.create();
     AdvertisedLimits limits = AdvertisedLimits.create(clock);
-    RateGate rates = RateGate.create(tables, settings.bounds(), limits, senders);
+    UpstreamRateLimits rates =
+        UpstreamRateLimits.create(tables, settings.bounds(), limits, senders);
     CrashGuard crashes = CrashGuard.create(vertx, clock, meters);
-    return new GatewayParts(
+    return new GatewayComponents(
         vertx,
         settings,
         clock,
         adapter,
-        UpstreamAttempt.newClient(vertx),
+        UpstreamConnection.newClient(vertx),
         tables,
         speeds,
         reading,
@@ -120,15 +121,16 @@
         crashes,
         UpstreamSelection.create(
             settings.zone(), tables, speeds, reading, zones, rates, crashes::runsSuspect, random),
-        ExpectedWorth.create(tables, times),
+        ExpectedValueRule.create(tables, times),
         versions,
         RetryBudgets.within(settings.bounds(), instances),
-        OpenDeadlines.create(vertx, clock),
-        TurnLine.create(clock, task -> vertx.runOnContext(unused -> task.run()), Exchange::begin),
-        ReturnSpread.by(random, instances),
+        DeadlineTimers.create(vertx, clock),
+        TurnLine.create(
+            clock, task -> vertx.runOnContext(unused -> task.run()), Exchange::sendFirst),
+        RetryAfterJitter.by(random, instances),
         times,
-        HeldBytes.create(),
-        LogLimit.create(clock, meters),
+        BodyMemoryBudget.create(),
+        LogRateLimit.create(clock, meters),
         meters);
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/CallerFront.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayServer.java
@@ -34,7 +34,7 @@
  * <p>{@link Admission} decides which requests are admitted. Invariant: a request that is refused
  * here was sent to no upstream. Used from one event loop.
  */
-public final class CallerFront {
+public final class GatewayServer {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   /** The decoder's limit of a head, in bytes; the configured lower limit is checked afterwards. */
@@ -56,7 +56,7 @@
           .setMaxInitialLineLength(MAXIMUM_DECODER_HEADER_BYTES)
           .setHandle100ContinueAutomatically(true)
           .setTcpNoDelay(true);
-  private final GatewayParts parts;
+  private final GatewayComponents parts;
   private final RandomGenerator random;
   private final Map<HttpConnection, CallerConnection> connections = new HashMap<>();
   private final Set<OpenRequest> waitingRequests = new LinkedHashSet<>();
@@ -64,7 +64,7 @@
   private final Admission admission;
   private int openRequests;
 
-  private CallerFront(GatewayParts parts, RandomGenerator random, BooleanSupplier ready) {
+  private GatewayServer(GatewayComponents parts, RandomGenerator random, BooleanSupplier ready) {
     this.parts = parts;
     this.random = random;
     this.ready = ready;
@@ -76,9 +76,9 @@
    *
    * @param ready returns whether the instance is ready to serve
    */
-  public static CallerFront create(
-      GatewayParts parts, RandomGenerator random, BooleanSupplier ready) {
-    return new CallerFront(parts, random, ready);
+  public static GatewayServer create(
+      GatewayComponents parts, RandomGenerator random, BooleanSupplier ready) {
+    return new GatewayServer(parts, random, ready);
   }
 
   /** Starts to accept connections. */
@@ -93,7 +93,7 @@
   }
 
   /** Returns the number of open requests. */
-  public int open() {
+  public int openRequests() {
     return openRequests;
   }
 
@@ -102,12 +102,12 @@
    *
    * @param closeAt when the connections still open will be closed
    */
-  public void beginStop(Instant closeAt) {
-    admission.beginStop(closeAt);
+  public void beginShutdown(Instant closeAt) {
+    admission.beginShutdown(closeAt);
   }
 
   /** Closes idle connections, so that their callers connect to other instances. */
-  public void closeResting() {
+  public void closeIdleConnections() {
     for (CallerConnection connection : List.copyOf(connections.values())) {
       if (connection.isIdle()) {
         connection.close();
@@ -116,7 +116,7 @@
   }
 
   /** Closes all connections, with the requests still open on them. */
-  public void cutAll() {
+  public void closeAllConnections() {
     List.copyOf(connections.values()).forEach(CallerConnection::close);
   }
 
@@ -148,13 +148,13 @@
   }
 
   /** Proceeds with the requests that arrived before the instance was ready. */
-  public void started() {
+  public void startWaitingRequests() {
     List<OpenRequest> released = List.copyOf(waitingRequests);
     waitingRequests.clear();
     released.forEach(OpenRequest::proceed);
   }
 
-  private Incoming admittedRequest(
+  private AdmittedRequest admittedRequest(
       HttpServerRequest request,
       RequestHead head,
       Admission.Admitted admitted,
@@ -167,7 +167,7 @@
     boolean hasBody =
         request.getHeader("Content-Length") != null
             || request.getHeader("Transfer-Encoding") != null;
-    return new Incoming(
+    return new AdmittedRequest(
         head,
         route,
         drawService(route),
@@ -197,15 +197,15 @@
   private final class OpenRequest {
     private final HttpServerRequest request;
     private final Instant arrived;
-    private final CallerAnswer answer;
+    private final CallerResponse answer;
     private final Optional<CallerConnection> connection;
     private final Buffer body = Buffer.buffer();
-    private long heldBytes;
+    private long reservedBytes;
 
     OpenRequest(HttpServerRequest request, Instant arrived) {
       this.request = request;
       this.arrived = arrived;
-      this.answer = new CallerAnswer(request);
+      this.answer = new CallerResponse(request);
       this.connection = Optional.ofNullable(connections.get(request.connection()));
     }
 
@@ -220,7 +220,7 @@
 
     private void ended() {
       openRequests--;
-      parts.held().give(heldBytes);
+      parts.bodyMemory().releaseBytes(reservedBytes);
       connection.ifPresent(CallerConnection::requestEnded);
     }
 
@@ -269,7 +269,7 @@
       try {
         admission.checkBodyBytes(body.length() + data.length());
         admission.hold(data.length());
-        heldBytes += data.length();
+        reservedBytes += data.length();
         body.appendBuffer(data);
       } catch (RefusedException e) {
         refuse(e.refusal(), head.id());
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayTables.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayTables.java
@@ -51,7 +51,7 @@
 
   private final InstantSource clock;
   private final ObjectJoin join = ObjectJoin.create(GatewayRules.create());
-  private final KnownUpstreams upstreams;
+  private final UpstreamRegistry upstreams;
   private final Map<String, ServiceRollout> rollouts = new TreeMap<>();
   private final Map<String, ServiceDefinition> services = new HashMap<>();
   private Optional<RoutingConfiguration> configuration = Optional.empty();
@@ -63,7 +63,7 @@
   private GatewayTables(InstantSource clock) {
     this.clock = clock;
     this.epochSince = clock.instant();
-    this.upstreams = KnownUpstreams.create(clock);
+    this.upstreams = UpstreamRegistry.create(clock);
   }
 
   /** Returns empty tables. */
@@ -277,12 +277,12 @@
    * Returns whether the upstream's version appeared beside another version and no roll-out order
    * names it.
    */
-  boolean isUnordered(UpstreamRecord upstream) {
-    return upstreams.versions().isUnordered(upstream.service(), upstream.version());
+  boolean lacksRolloutOrder(UpstreamRecord upstream) {
+    return upstreams.versions().lacksRolloutOrder(upstream.service(), upstream.version());
   }
 
   /** Returns whether any service has a running roll-out. */
-  public boolean isBringingIn() {
+  public boolean hasRunningRollout() {
     return rollouts.values().stream().anyMatch(ServiceRollout::runs);
   }
 
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatheredKnowledge.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatheredKnowledge.java
@@ -21,18 +21,18 @@
   /** The interval at which speeds are sent; they change with each answer but may be 1 s old. */
   private static final Duration SPEEDS_INTERVAL = Duration.ofSeconds(1);
 
-  private final GatewayParts parts;
+  private final GatewayComponents parts;
   private final RolloutDirector rollouts;
   private Map<String, ReadingLine> speeds = Map.of();
   private Instant speedsAt = Instant.EPOCH;
 
-  private GatheredKnowledge(GatewayParts parts, RolloutDirector rollouts) {
+  private GatheredKnowledge(GatewayComponents parts, RolloutDirector rollouts) {
     this.parts = parts;
     this.rollouts = rollouts;
   }
 
   /** Returns the participant that exchanges the state of these parts. */
-  public static GatheredKnowledge of(GatewayParts parts, RolloutDirector rollouts) {
+  public static GatheredKnowledge of(GatewayComponents parts, RolloutDirector rollouts) {
     return new GatheredKnowledge(parts, rollouts);
   }
 
--- a/org.oatlug/src/org/oatlug/internal/gateway/SilenceWatch.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/IdleTimeout.java
@@ -16,7 +16,7 @@
  * as silence. Invariants: the timeout is reported at most once, and never after {@link #stop}. Used
  * from one event loop.
  */
-final class SilenceWatch {
+final class IdleTimeout {
   private static final long NO_TIMER = -1;
 
   private final Vertx vertx;
@@ -28,7 +28,7 @@
   private boolean paused;
   private boolean stopped;
 
-  private SilenceWatch(GatewayParts parts, Supplier<Duration> timeout, Runnable onTimeout) {
+  private IdleTimeout(GatewayComponents parts, Supplier<Duration> timeout, Runnable onTimeout) {
     this.vertx = parts.vertx();
     this.clock = parts.clock();
     this.timeout = timeout;
@@ -42,8 +42,9 @@
    * @param timeout returns the current timeout, called at each check
    * @param onTimeout called when the upstream has been silent for the timeout
    */
-  static SilenceWatch create(GatewayParts parts, Supplier<Duration> timeout, Runnable onTimeout) {
-    return new SilenceWatch(parts, timeout, onTimeout);
+  static IdleTimeout create(
+      GatewayComponents parts, Supplier<Duration> timeout, Runnable onTimeout) {
+    return new IdleTimeout(parts, timeout, onTimeout);
   }
 
   /** Starts to report a silence that reaches the timeout. */
--- a/org.oatlug/src/org/oatlug/internal/gateway/InspectionServer.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/InspectionServer.java
@@ -73,14 +73,14 @@
    *
    * @param parts the components whose decisions are explained
    */
-  public Future<HttpServer> listenForOperators(String host, int port, GatewayParts parts) {
+  public Future<HttpServer> listenForOperators(String host, int port, GatewayComponents parts) {
     return vertx
         .createHttpServer()
         .requestHandler(request -> answerOperator(request, parts))
         .listen(port, host);
   }
 
-  private void answerOperator(HttpServerRequest request, GatewayParts parts) {
+  private void answerOperator(HttpServerRequest request, GatewayComponents parts) {
     switch (request.path()) {
       case EXPLAIN_PATH -> explain(request, parts);
       case STATUS_PATH ->
@@ -91,7 +91,7 @@
   }
 
   /** Clears a suspected request; only by PUT, so that a mere GET has no effect. */
-  private static void letRun(HttpServerRequest request, GatewayParts parts) {
+  private static void letRun(HttpServerRequest request, GatewayComponents parts) {
     boolean forgotten =
         request.method().equals(HttpMethod.PUT) && parts.crashes().forget(text(request, "request"));
     request
@@ -101,7 +101,7 @@
         .end("{\"forgotten\":" + forgotten + "}");
   }
 
-  private static void explain(HttpServerRequest request, GatewayParts parts) {
+  private static void explain(HttpServerRequest request, GatewayComponents parts) {
     Generation generation =
         new Generation(
             "", number(request, "read"), number(request, "made"), List.of(), OptionalInt.empty());
--- a/org.oatlug/src/org/oatlug/internal/gateway/InstanceStatus.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/InstanceStatus.java
@@ -66,7 +66,7 @@
       int expectedLoad) {}
 
   /** Returns the status of the instance with these components. */
-  static InstanceStatus of(GatewayParts parts, boolean ready) {
+  static InstanceStatus of(GatewayComponents parts, boolean ready) {
     GatewayTables tables = parts.tables();
     List<Upstream> upstreams =
         tables.upstreamNames().stream().map(name -> upstream(parts, name)).toList();
@@ -80,7 +80,7 @@
         upstreams);
   }
 
-  private static Upstream upstream(GatewayParts parts, String name) {
+  private static Upstream upstream(GatewayComponents parts, String name) {
     UpstreamRecord record = parts.tables().upstream(name).orElseThrow();
     UpstreamRow row = parts.tables().row(name);
     Instant now = parts.clock().instant();
--- a/org.oatlug/src/org/oatlug/internal/gateway/LogLimit.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/LogRateLimit.java
@@ -16,7 +16,7 @@
  * <p>Invariant: suppressed lines are counted, and the next line that is logged follows a line with
  * their number. Owned by one event loop, not thread-safe.
  */
-final class LogLimit {
+final class LogRateLimit {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   /** The rate and the burst: about three times the rate of a busy instance. */
@@ -27,14 +27,14 @@
   private final TokenBucket bucket;
   private long suppressed;
 
-  private LogLimit(InstantSource clock, Meters meters) {
+  private LogRateLimit(InstantSource clock, Meters meters) {
     this.clock = clock;
     this.meters = meters;
     this.bucket = TokenBucket.full(LINES_PER_SECOND, clock.instant());
   }
 
-  static LogLimit create(InstantSource clock, Meters meters) {
-    return new LogLimit(clock, meters);
+  static LogRateLimit create(InstantSource clock, Meters meters) {
+    return new LogRateLimit(clock, meters);
   }
 
   /** Returns a log statement for the request, at a level that is not logged above the limit. */
--- a/org.oatlug/src/org/oatlug/internal/gateway/StartGate.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/ReadinessGate.java
@@ -18,7 +18,7 @@
  * is open; it opens at the latest {@link #MAXIMUM_WAIT} after the configuration is in force, so
  * that a fleet that cannot read the orders still serves. Owned by one event loop, not thread-safe.
  */
-public final class StartGate {
+public final class ReadinessGate {
   /** Exceeds the time to read orders and sessions from the store or from other instances. */
   private static final Duration MAXIMUM_WAIT = Duration.ofSeconds(3);
 
@@ -29,7 +29,7 @@
   private Optional<Instant> configuredAt = Optional.empty();
   private boolean open;
 
-  private StartGate(
+  private ReadinessGate(
       InstantSource clock,
       BooleanSupplier configured,
       BooleanSupplier ordersRead,
@@ -48,12 +48,12 @@
    * @param sessionsKnown whether no roll-out is running or the sessions of other instances are
    *     known
    */
-  public static StartGate create(
+  public static ReadinessGate create(
       InstantSource clock,
       BooleanSupplier configured,
       BooleanSupplier ordersRead,
       BooleanSupplier sessionsKnown) {
-    return new StartGate(clock, configured, ordersRead, sessionsKnown);
+    return new ReadinessGate(clock, configured, ordersRead, sessionsKnown);
   }
 
   /** Returns whether the instance may serve. */
--- a/org.oatlug/src/org/oatlug/internal/gateway/AnswerTimes.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/ResponseTimes.java
@@ -18,7 +18,7 @@
  * beyond the forecast. The timeouts follow the measured times, so that requests to a pool that is
  * slow as a whole are not all sent twice. Owned by one event loop, not thread-safe.
  */
-final class AnswerTimes {
+final class ResponseTimes {
   /** Weight of one measurement in the exponential moving averages. */
   private static final double SMOOTHING = 0.05;
 
@@ -102,13 +102,13 @@
     }
   }
 
-  private AnswerTimes(InstantSource clock) {
+  private ResponseTimes(InstantSource clock) {
     this.clock = clock;
   }
 
   /** Returns an estimator without measurements. */
-  static AnswerTimes create(InstantSource clock) {
-    return new AnswerTimes(clock);
+  static ResponseTimes create(InstantSource clock) {
+    return new ResponseTimes(clock);
   }
 
   /**
--- a/org.oatlug/src/org/oatlug/internal/gateway/ReturnSpread.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RetryAfterJitter.java
@@ -18,7 +18,7 @@
  * the same end of the back-off. If all callers retried at that time, the upstreams would refuse
  * them again. Used from one event loop.
  */
-final class ReturnSpread {
+final class RetryAfterJitter {
   /** Maximum jitter as a share of the delay. */
   private static final double JITTER_SHARE = 0.5;
 
@@ -32,7 +32,7 @@
   private final IntSupplier instances;
   private final Map<String, Instant> lastRetryTimes = new HashMap<>();
 
-  private ReturnSpread(RandomGenerator random, IntSupplier instances) {
+  private RetryAfterJitter(RandomGenerator random, IntSupplier instances) {
     this.random = random;
     this.instances = instances;
   }
@@ -42,8 +42,8 @@
    *
    * @param instances supplies the number of instances that refuse callers at the same time
    */
-  static ReturnSpread by(RandomGenerator random, IntSupplier instances) {
-    return new ReturnSpread(random, instances);
+  static RetryAfterJitter by(RandomGenerator random, IntSupplier instances) {
+    return new RetryAfterJitter(random, instances);
   }
 
   /**
--- a/org.oatlug/src/org/oatlug/internal/gateway/RolloutDirector.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RolloutDirector.java
@@ -17,7 +17,7 @@
 import org.oatlug.gateway.RequestHead;
 import org.oatlug.gateway.ServiceRollout;
 import org.oatlug.gateway.ServiceRollout.State;
-import org.oatlug.internal.gateway.VersionBasis.Knowledge;
+import org.oatlug.internal.gateway.VersionDecisionInputs.Knowledge;
 import org.oatlug.internal.gather.SeenSession;
 import org.oatlug.internal.membership.Membership;
 import org.oatlug.internal.metrics.Meters;
@@ -64,7 +64,7 @@
   private final InstantSource clock;
   private final Meters meters;
   private final RolloutSchedule schedule;
-  private final ReplicatedSessions sessions;
+  private final SessionVersionCache sessions;
   private final Map<TrialKey, RolloutTrial> trials = BoundedMap.ofMost(MAXIMUM_TRIALS);
   private Runnable onRefuted = () -> {};
   private Instant nextTick = Instant.EPOCH;
@@ -84,7 +84,7 @@
     this.clock = clock;
     this.meters = meters;
     this.schedule = RolloutSchedule.withExposureBound(bounds.exposureShare());
-    this.sessions = ReplicatedSessions.withPause(bounds.session(), this::movesImmediately);
+    this.sessions = SessionVersionCache.withPause(bounds.session(), this::movesImmediately);
   }
 
   /** Returns a director without sessions and evidence. */
@@ -99,7 +99,8 @@
   }
 
   @Override
-  public Optional<Wish> wishFor(String service, RequestHead head, Tried tried) {
+  public Optional<VersionPreference> preferenceFor(
+      String service, RequestHead head, PriorAttempts tried) {
     Optional<ServiceRollout> rollout = tables.rollout(service);
     if (rollout.isEmpty()) {
       return Optional.empty();
@@ -107,20 +108,24 @@
     String target = rollout.get().targetVersion();
     Optional<State> state = rollout.get().state();
     if (state.equals(Optional.of(State.SUCCEEDED))) {
-      return Optional.of(new Wish(target, true, Firmness.PREFERRED, Optional.empty()));
+      return Optional.of(new VersionPreference(target, true, Firmness.PREFERRED, Optional.empty()));
     }
     RolloutTrial trial = trialOf(service, rollout.get());
     if (state.equals(Optional.of(State.ROLLED_BACK)) || trial.isRefuted()) {
-      return Optional.of(new Wish(target, false, Firmness.REQUIRED, Optional.empty()));
+      return Optional.of(new VersionPreference(target, false, Firmness.REQUIRED, Optional.empty()));
     }
     return Optional.of(preferenceWhileRunning(service, rollout.get(), trial, head, tried));
   }
 
-  private Wish preferenceWhileRunning(
-      String service, ServiceRollout rollout, RolloutTrial trial, RequestHead head, Tried tried) {
-    VersionBasis current = basisOf(service, rollout, trial, head);
+  private VersionPreference preferenceWhileRunning(
+      String service,
+      ServiceRollout rollout,
+      RolloutTrial trial,
+      RequestHead head,
+      PriorAttempts tried) {
+    VersionDecisionInputs current = basisOf(service, rollout, trial, head);
     // An earlier attempt of this request records its session, which does not make it a known one.
-    VersionBasis basis = tried.basis().map(current::withKnowledgeOf).orElse(current);
+    VersionDecisionInputs basis = tried.basis().map(current::withKnowledgeOf).orElse(current);
     String target = rollout.targetVersion();
     boolean failedOnTarget = tried.failedVersion().equals(Optional.of(target));
     return new VersionChoice(
@@ -133,23 +138,25 @@
         .preference();
   }
 
-  private VersionBasis basisOf(
+  private VersionDecisionInputs basisOf(
       String service, ServiceRollout rollout, RolloutTrial trial, RequestHead head) {
     OptionalLong session = SessionVersions.sessionHash(head);
     double elapsedFraction = elapsedFraction(rollout, trial);
     double share = schedule.shareAt(elapsedFraction);
     if (session.isEmpty()) {
-      return new VersionBasis(session, Knowledge.NO_SESSION, "", 0, elapsedFraction, share);
+      return new VersionDecisionInputs(
+          session, Knowledge.NO_SESSION, "", 0, elapsedFraction, share);
     }
     Instant now = clock.instant();
     Optional<SessionVersions.Observation> last =
         sessions.of(service).lastObservation(session.getAsLong(), now);
     if (last.isEmpty()) {
-      return new VersionBasis(session, Knowledge.UNKNOWN, "", 0, elapsedFraction, share);
+      return new VersionDecisionInputs(session, Knowledge.UNKNOWN, "", 0, elapsedFraction, share);
     }
     Knowledge knowledge = last.get().isLocal() ? Knowledge.SEEN_HERE : Knowledge.TOLD;
     long age = Duration.between(last.get().at(), now).toMillis();
-    return new VersionBasis(session, knowledge, last.get().version(), age, elapsedFraction, share);
+    return new VersionDecisionInputs(
+        session, knowledge, last.get().version(), age, elapsedFraction, share);
   }
 
   private static double hashFraction(long number) {
@@ -199,7 +206,7 @@
   }
 
   @Override
-  public void paced(Pace pace) {
+  public void recordEventInterval(Pace pace) {
     updateTrial(pace.service(), trial -> trial.add(pace, clock.instant()));
   }
 
@@ -222,7 +229,7 @@
   }
 
   /** Returns whether the age of the order is known for every running roll-out. */
-  public boolean knowsAges() {
+  public boolean knowsOrderAges() {
     return tables.servicesWithRollout().stream()
         .flatMap(service -> runningTrial(service).stream())
         .allMatch(trial -> trial.age().isKnown());
--- a/org.oatlug/src/org/oatlug/internal/gateway/RouteExplanation.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RouteExplanation.java
@@ -49,7 +49,7 @@
   public record Target(
       String service,
       int weight,
-      Optional<VersionRule.Wish> versions,
+      Optional<VersionRule.VersionPreference> versions,
       List<Stage> stages,
       List<Candidate> upstreams) {}
 
@@ -90,7 +90,7 @@
    * @param generation the generation parameters of the request
    */
   public static Optional<RouteExplanation> of(
-      GatewayParts parts, String host, String path, Generation generation) {
+      GatewayComponents parts, String host, String path, Generation generation) {
     return parts
         .tables()
         .routes()
@@ -110,17 +110,17 @@
         Optional.of(generation));
   }
 
-  private static RouteExplanation explain(GatewayParts parts, Route route, RequestHead head) {
+  private static RouteExplanation explain(GatewayComponents parts, Route route, RequestHead head) {
     List<Target> targets =
         route.targets().stream().map(target -> explain(parts, route, target, head)).toList();
     return new RouteExplanation(route.name(), route.kind(), targets);
   }
 
   private static Target explain(
-      GatewayParts parts, Route route, Route.WeightedTarget target, RequestHead head) {
+      GatewayComponents parts, Route route, Route.WeightedTarget target, RequestHead head) {
     String service = target.service();
-    Optional<VersionRule.Wish> preference =
-        parts.versions().wishFor(service, head, VersionRule.Tried.NOTHING);
+    Optional<VersionRule.VersionPreference> preference =
+        parts.versions().preferenceFor(service, head, VersionRule.PriorAttempts.NOTHING);
     Optional<String> firstModel =
         route.isCascade()
             ? Optional.of(route.models().get(parts.stages().first(route)))
@@ -137,7 +137,7 @@
   }
 
   private static List<Stage> stages(
-      GatewayParts parts, Route route, UpstreamSelection.Criteria wanted) {
+      GatewayComponents parts, Route route, UpstreamSelection.Criteria wanted) {
     List<Stage> stages = new ArrayList<>();
     for (int stage = 0; stage < route.models().size(); stage++) {
       int confidence = minimumConfidence(parts, route, wanted, stage);
@@ -147,10 +147,10 @@
   }
 
   private static int minimumConfidence(
-      GatewayParts parts, Route route, UpstreamSelection.Criteria wanted, int stage) {
+      GatewayComponents parts, Route route, UpstreamSelection.Criteria wanted, int stage) {
     for (int confidence = 0; confidence < MAXIMUM_CONFIDENCE; confidence++) {
-      StageRule.Poor answer =
-          new StageRule.Poor(
+      StageRule.LowConfidenceAnswer answer =
+          new StageRule.LowConfidenceAnswer(
               route,
               wanted.service(),
               wanted.generation().orElse(Generation.UNKNOWN),
@@ -158,7 +158,7 @@
               confidence,
               Duration.ZERO,
               model -> forecast(parts, wanted, model));
-      if (parts.stages().insteadOf(answer).isEmpty()) {
+      if (parts.stages().replacementStage(answer).isEmpty()) {
         return confidence;
       }
     }
@@ -166,7 +166,7 @@
   }
 
   private static HeadForecast forecast(
-      GatewayParts parts, UpstreamSelection.Criteria wanted, String model) {
+      GatewayComponents parts, UpstreamSelection.Criteria wanted, String model) {
     return parts
         .selection()
         .choose(wanted.of(model), parts.clock().instant())
@@ -174,7 +174,8 @@
         .orElse(HeadForecast.NEVER);
   }
 
-  private static List<Candidate> candidates(GatewayParts parts, UpstreamSelection.Criteria wanted) {
+  private static List<Candidate> candidates(
+      GatewayComponents parts, UpstreamSelection.Criteria wanted) {
     List<UpstreamSelection.Chosen> costs = parts.selection().costs(wanted, parts.clock().instant());
     List<Candidate> candidates = new ArrayList<>();
     for (String name : parts.tables().upstreamsOf(wanted.service())) {
--- a/org.oatlug/src/org/oatlug/internal/gateway/ReplicatedSessions.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/SessionVersionCache.java
@@ -24,7 +24,7 @@
  * when its version changes, so that it stays known to other instances for as long as it lasts.
  * Owned by one event loop, not thread-safe.
  */
-final class ReplicatedSessions {
+final class SessionVersionCache {
   /** The sessions of one session pause at the busiest instance of the design size. */
   private static final int MAXIMUM_REPLICATED = 4096;
 
@@ -36,7 +36,7 @@
 
   private record SessionKey(String service, long session, String version) {}
 
-  private ReplicatedSessions(Duration pause, LongPredicate movesImmediately) {
+  private SessionVersionCache(Duration pause, LongPredicate movesImmediately) {
     this.pause = pause;
     this.movesImmediately = movesImmediately;
   }
@@ -47,8 +47,8 @@
    * @param movesImmediately whether a roll-out moves the session, if unknown, to the new version
    *     from its order on
    */
-  static ReplicatedSessions withPause(Duration pause, LongPredicate movesImmediately) {
-    return new ReplicatedSessions(pause, movesImmediately);
+  static SessionVersionCache withPause(Duration pause, LongPredicate movesImmediately) {
+    return new SessionVersionCache(pause, movesImmediately);
   }
 
   /** Returns the session table of a service. */
--- a/org.oatlug/src/org/oatlug/internal/gateway/StageRule.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/StageRule.java
@@ -33,7 +33,7 @@
    * @param expected the forecast of the time to the head for a model, at the upstream that would be
    *     chosen
    */
-  record Poor(
+  record LowConfidenceAnswer(
       Route route,
       String service,
       Generation generation,
@@ -43,5 +43,5 @@
       Function<String, HeadForecast> expected) {}
 
   /** Returns the stage that is to replace the answer, empty to accept the answer. */
-  OptionalInt insteadOf(Poor answer);
+  OptionalInt replacementStage(LowConfidenceAnswer answer);
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/StreamPace.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/StreamEventInterval.java
@@ -13,7 +13,7 @@
  * <p>Invariant: a measurement is returned at most once, and never for a stream that was paused for
  * a slow caller. Used from one event loop.
  */
-final class StreamPace {
+final class StreamEventInterval {
   /** The number of events that suffices for a measurement before the end of the stream. */
   private static final long SUFFICIENT_EVENTS = 8;
 
@@ -43,7 +43,7 @@
   }
 
   /** Discards the measurement, because the stream is paused for a slow caller. */
-  void spoil() {
+  void discard() {
     finished = true;
   }
 
--- a/org.oatlug/src/org/oatlug/internal/gateway/UpstreamAttempt.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/UpstreamConnection.java
@@ -25,7 +25,7 @@
  * headReceived} at most once, then data, and then exactly one of {@code completed} and {@code
  * failed}; no calls after {@link #cancel}. Used from one event loop.
  */
-final class UpstreamAttempt {
+final class UpstreamConnection {
   /** The connect timeout: many round trips between availability zones. */
   private static final int CONNECT_TIMEOUT_MILLIS = 400;
 
@@ -37,7 +37,7 @@
   private HttpClientResponse response;
   private boolean finished;
 
-  private UpstreamAttempt(Listener listener) {
+  private UpstreamConnection(Listener listener) {
     this.listener = listener;
   }
 
@@ -93,8 +93,8 @@
   }
 
   /** Opens a connection and sends the request over it. */
-  static UpstreamAttempt start(HttpClient client, OutgoingRequest outgoing, Listener listener) {
-    UpstreamAttempt attempt = new UpstreamAttempt(listener);
+  static UpstreamConnection start(HttpClient client, OutgoingRequest outgoing, Listener listener) {
+    UpstreamConnection attempt = new UpstreamConnection(listener);
     RequestOptions options =
         new RequestOptions()
             .setServer(outgoing.address())
--- a/org.oatlug/src/org/oatlug/internal/gateway/UpstreamEligibility.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/UpstreamEligibility.java
@@ -34,15 +34,15 @@
       Sets.immutableEnumSet(Exclusion.FULL, Exclusion.COLD, Exclusion.LIMITED);
 
   private final GatewayTables tables;
-  private final RateGate rates;
+  private final UpstreamRateLimits rates;
 
-  private UpstreamEligibility(GatewayTables tables, RateGate rates) {
+  private UpstreamEligibility(GatewayTables tables, UpstreamRateLimits rates) {
     this.tables = tables;
     this.rates = rates;
   }
 
   /** Returns a check of the upstreams in the tables. */
-  static UpstreamEligibility of(GatewayTables tables, RateGate rates) {
+  static UpstreamEligibility of(GatewayTables tables, UpstreamRateLimits rates) {
     return new UpstreamEligibility(tables, rates);
   }
 
@@ -83,7 +83,7 @@
   /**
    * Returns why a selected request must not be written, empty if it may be. The upstream may have
    * become unavailable while the connection was being opened. The connection is already reserved
-   * for the request, and {@link RateGate.Reservation} checks the rate limits.
+   * for the request, and {@link UpstreamRateLimits.Reservation} checks the rate limits.
    */
   Optional<Exclusion> exclusionBeforeWrite(String name, Instant now) {
     return exclusionOf(name, now).filter(reason -> !RESERVED_BY_REQUEST.contains(reason));
--- a/org.oatlug/src/org/oatlug/internal/gateway/RateGate.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/UpstreamRateLimits.java
@@ -24,14 +24,14 @@
  * <p>Invariant: an upstream is never limited if its service configures no cold-start limit and the
  * upstream advertises none. Owned by one event loop, not thread-safe.
  */
-final class RateGate {
+final class UpstreamRateLimits {
   private final GatewayTables tables;
   private final GatewaySettings.Bounds bounds;
   private final AdvertisedLimits advertised;
   private final SharedRateLimit coldLimit;
   private final SharedRateLimit advertisedLimit;
 
-  private RateGate(
+  private UpstreamRateLimits(
       GatewayTables tables,
       GatewaySettings.Bounds bounds,
       AdvertisedLimits advertised,
@@ -44,12 +44,12 @@
   }
 
   /** Returns a gate that has admitted no requests yet. */
-  static RateGate create(
+  static UpstreamRateLimits create(
       GatewayTables tables,
       GatewaySettings.Bounds bounds,
       AdvertisedLimits advertised,
       RateSenders senders) {
-    return new RateGate(tables, bounds, advertised, senders);
+    return new UpstreamRateLimits(tables, bounds, advertised, senders);
   }
 
   /** Returns whether the upstream is warm or its cold-start limit admits a request. */
@@ -148,7 +148,7 @@
    * Returns the sum of the limits that the upstreams of a service advertise, in requests per
    * second.
    */
-  double advertisedOf(String service) {
+  double totalAdvertisedRate(String service) {
     return tables.upstreamsOf(service).stream()
         .flatMapToDouble(name -> advertised.of(tables.row(name).process()).stream())
         .sum();
--- a/org.oatlug/src/org/oatlug/internal/gateway/KnownUpstreams.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/UpstreamRegistry.java
@@ -31,7 +31,7 @@
  * counts as drained from the merge of the drain until it is revoked. Owned by one event loop, not
  * thread-safe.
  */
-final class KnownUpstreams {
+final class UpstreamRegistry {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   private final InstantSource clock;
@@ -39,15 +39,15 @@
   private final Map<String, UpstreamRecord> records = new TreeMap<>();
   private final Map<String, List<String>> byService = new HashMap<>();
   private final Set<String> emptiedZones = new TreeSet<>();
-  private final KnownVersions versions = KnownVersions.create();
+  private final VersionRegistry versions = VersionRegistry.create();
 
-  private KnownUpstreams(InstantSource clock) {
+  private UpstreamRegistry(InstantSource clock) {
     this.clock = clock;
   }
 
   /** Returns an empty directory. */
-  static KnownUpstreams create(InstantSource clock) {
-    return new KnownUpstreams(clock);
+  static UpstreamRegistry create(InstantSource clock) {
+    return new UpstreamRegistry(clock);
   }
 
   /** Adds or replaces the registration of an upstream and returns the previous one. */
@@ -125,7 +125,7 @@
   }
 
   /** Returns the versions that have upstreams. */
-  KnownVersions versions() {
+  VersionRegistry versions() {
     return versions;
   }
 
--- a/org.oatlug/src/org/oatlug/internal/gateway/UpstreamSelection.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/UpstreamSelection.java
@@ -51,7 +51,7 @@
       EngineSpeeds speeds,
       OpenReading reading,
       ZoneReach zones,
-      RateGate rates,
+      UpstreamRateLimits rates,
       Predicate<String> hasSuspect,
       RandomGenerator random) {
     this.zone = zone;
@@ -75,7 +75,7 @@
       EngineSpeeds speeds,
       OpenReading reading,
       ZoneReach zones,
-      RateGate rates,
+      UpstreamRateLimits rates,
       Predicate<String> hasSuspect,
       RandomGenerator random) {
     return new UpstreamSelection(zone, tables, speeds, reading, zones, rates, hasSuspect, random);
@@ -94,14 +94,14 @@
    */
   record Criteria(
       String service,
-      Optional<VersionRule.Wish> version,
+      Optional<VersionRule.VersionPreference> version,
       Optional<String> model,
       Optional<Generation> generation,
       int bodyBytes,
       Set<String> excluded,
       boolean isolated) {
     private boolean matchesVersion(UpstreamRecord upstream) {
-      return version.map(constraint -> constraint.isMetBy(upstream.version())).orElse(true);
+      return version.map(constraint -> constraint.isSatisfiedBy(upstream.version())).orElse(true);
     }
 
     /** Returns the same criteria for another model. */
@@ -202,7 +202,7 @@
     List<Candidate> matching =
         eligible(
             criteria,
-            upstream -> criteria.matchesVersion(upstream) && !tables.isUnordered(upstream),
+            upstream -> criteria.matchesVersion(upstream) && !tables.lacksRolloutOrder(upstream),
             now);
     if (matching.isEmpty()) {
       matching = eligible(criteria, criteria::matchesVersion, now);
@@ -214,7 +214,10 @@
 
   private boolean allowsAnyVersion(Criteria criteria) {
     VersionRule.Firmness firmness =
-        criteria.version().map(VersionRule.Wish::firmness).orElse(VersionRule.Firmness.REQUIRED);
+        criteria
+            .version()
+            .map(VersionRule.VersionPreference::firmness)
+            .orElse(VersionRule.Firmness.REQUIRED);
     return switch (firmness) {
       case PREFERRED -> true;
       case KEPT ->
--- a/org.oatlug/src/org/oatlug/internal/gateway/VersionChoice.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/VersionChoice.java
@@ -5,7 +5,7 @@
 
 import java.util.Optional;
 import org.oatlug.internal.gateway.VersionRule.Firmness;
-import org.oatlug.internal.gateway.VersionRule.Wish;
+import org.oatlug.internal.gateway.VersionRule.VersionPreference;
 
 /**
  * Chooses the version for a request during a roll-out. Pure, immutable.
@@ -26,29 +26,29 @@
  */
 record VersionChoice(
     String target,
-    VersionBasis basis,
+    VersionDecisionInputs basis,
     boolean isInShare,
     boolean suspicious,
     boolean settling,
     boolean mayMove) {
 
   /** Returns the version preference for the request. */
-  Wish preference() {
+  VersionPreference preference() {
     return basis.isUnknown() ? preferenceForNewSession() : preferenceForKnownSession();
   }
 
-  private Wish preferenceForNewSession() {
+  private VersionPreference preferenceForNewSession() {
     boolean mustWait = settling && basis.session().isPresent();
     return preferenceOf(isInShare && !suspicious && !mustWait, Firmness.PREFERRED);
   }
 
-  private Wish preferenceForKnownSession() {
+  private VersionPreference preferenceForKnownSession() {
     boolean isOnTarget = basis.before().equals(target);
     boolean moves = !isOnTarget && isInShare && mayMove && !suspicious;
     return preferenceOf(isOnTarget || moves, moves ? Firmness.PREFERRED : Firmness.KEPT);
   }
 
-  private Wish preferenceOf(boolean wanted, Firmness firmness) {
-    return new Wish(target, wanted, firmness, Optional.of(basis));
+  private VersionPreference preferenceOf(boolean wanted, Firmness firmness) {
+    return new VersionPreference(target, wanted, firmness, Optional.of(basis));
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/VersionBasis.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/VersionDecisionInputs.java
@@ -16,7 +16,7 @@
  * @param part the fraction of the duration that has elapsed
  * @param share the share of the sessions that the new version receives, 0 to 1
  */
-public record VersionBasis(
+public record VersionDecisionInputs(
     OptionalLong session,
     Knowledge knowledge,
     String before,
@@ -42,8 +42,9 @@
   }
 
   /** Returns this basis with the session knowledge of another one. */
-  VersionBasis withKnowledgeOf(VersionBasis other) {
-    return new VersionBasis(session, other.knowledge, other.before, other.ageMillis, part, share);
+  VersionDecisionInputs withKnowledgeOf(VersionDecisionInputs other) {
+    return new VersionDecisionInputs(
+        session, other.knowledge, other.before, other.ageMillis, part, share);
   }
 
   /** Returns log fields; concatenated and not formatted, because every attempt logs them. */
--- a/org.oatlug/src/org/oatlug/internal/gateway/KnownVersions.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/VersionRegistry.java
@@ -20,7 +20,7 @@
  * the initial read is complete every version is accepted, and an accepted version stays accepted.
  * Owned by one event loop, not thread-safe.
  */
-final class KnownVersions {
+final class VersionRegistry {
   /** Far above the number of versions that the services of a deployment have in a day. */
   private static final int MAXIMUM_ACCEPTED = 4096;
 
@@ -32,11 +32,11 @@
 
   private record Version(String service, String name) {}
 
-  private KnownVersions() {}
+  private VersionRegistry() {}
 
   /** Returns an empty registry. */
-  static KnownVersions create() {
-    return new KnownVersions();
+  static VersionRegistry create() {
+    return new VersionRegistry();
   }
 
   /** Records that all orders have been read; versions that appear from now on need one. */
@@ -93,7 +93,7 @@
   }
 
   /** Returns whether the version appeared beside another one and no roll-out order names it. */
-  boolean isUnordered(String service, String name) {
+  boolean lacksRolloutOrder(String service, String name) {
     return !unordered.isEmpty() && unordered.contains(new Version(service, name));
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/VersionRule.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/VersionRule.java
@@ -33,9 +33,10 @@
    * @param firmness the behaviour if no available upstream satisfies the preference
    * @param basis the inputs of the choice, empty once the roll-out has ended
    */
-  record Wish(String version, boolean wanted, Firmness firmness, Optional<VersionBasis> basis) {
+  record VersionPreference(
+      String version, boolean wanted, Firmness firmness, Optional<VersionDecisionInputs> basis) {
     /** Returns whether the version satisfies the preference. */
-    public boolean isMetBy(String answeringVersion) {
+    public boolean isSatisfiedBy(String answeringVersion) {
       return version.equals(answeringVersion) == wanted;
     }
   }
@@ -46,9 +47,10 @@
    * @param failedVersion the version on which the previous attempt failed, empty for none
    * @param basis the inputs of the request's first version choice, empty for none
    */
-  record Tried(Optional<String> failedVersion, Optional<VersionBasis> basis) {
+  record PriorAttempts(Optional<String> failedVersion, Optional<VersionDecisionInputs> basis) {
     /** No earlier attempt. */
-    public static final Tried NOTHING = new Tried(Optional.empty(), Optional.empty());
+    public static final PriorAttempts NOTHING =
+        new PriorAttempts(Optional.empty(), Optional.empty());
   }
 
   /**
@@ -69,7 +71,7 @@
    *
    * @param tried the earlier attempts of the request
    */
-  Optional<Wish> wishFor(String service, RequestHead head, Tried tried);
+  Optional<VersionPreference> preferenceFor(String service, RequestHead head, PriorAttempts tried);
 
   /** Records that a request was sent to a version. */
   void sent(String service, String version, RequestHead head);
@@ -89,7 +91,7 @@
   record Pace(String service, String version, Route route, String model, double millisPerEvent) {}
 
   /** Records the pace of a stream. */
-  void paced(Pace pace);
+  void recordEventInterval(Pace pace);
 
   /** Returns the progress of the running roll-outs as this instance sees it. */
   List<RolloutStatus> status();
