--- a/org.oatlug.entry/src/org/oatlug/entry/GatewayInstance.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/GatewayInstance.java
@@ -81,12 +81,12 @@
   private final Instant startedAt = clock.instant();
   private GatewaySettings settings;
   private Membership membership;
-  private GatewayServer front;
+  private GatewayServer server;
   private TcpPeers listener;
   private List<TickSystem> systems = List.of();
   private Optional<Instant> listeningAt = Optional.empty();
   private Optional<Instant> servingAt = Optional.empty();
-  private ReadinessGate gate;
+  private ReadinessGate readinessGate;
   private boolean stopping;
 
   GatewayInstance(GatewaySettings settings, DeploymentAdapter adapter) {
@@ -111,14 +111,14 @@
     membership = Membership.create(self, clock, random);
     membership.seeds(seedsOf(settings));
     Meters meters = Meters.of(new MetricRegistry());
-    GatewayComponents parts = wire(meters);
-    return listen(InspectionServer.create(vertx, meters, this::isReady), parts);
+    GatewayComponents components = wire(meters);
+    return listen(InspectionServer.create(vertx, meters, this::isReady), components);
   }
 
   /** Opens the sockets, the callers' one first, and starts the systems. */
-  private Future<?> listen(InspectionServer inspection, GatewayComponents parts) {
+  private Future<?> listen(InspectionServer inspection, GatewayComponents components) {
     // The callers' server is the first one: it takes over the socket that was opened for it.
-    final Future<?> callers = front.listen();
+    final Future<?> callers = server.listen();
     listener.listen().onFailure(failure -> logger.atSevere().withCause(failure).log("peers"));
     systems.forEach(TickSystem::tick);
     vertx.setPeriodic(TICK_MILLIS, unused -> systems.forEach(TickSystem::tick));
@@ -126,7 +126,8 @@
         .compose(unused -> inspection.listenForReadiness(settings.readiness()))
         .compose(
             unused ->
-                inspection.listenForOperators(settings.callers().host(), settings.metrics(), parts))
+                inspection.listenForOperators(
+                    settings.callers().host(), settings.metrics(), components))
         .onSuccess(unused -> listens());
   }
 
@@ -149,7 +150,7 @@
     return Duration.between(startedAt, moment).toMillis();
   }
 
-  /** Makes the parts of the instance and tells them of each other. */
+  /** Creates the components of the instance and connects them. */
   private GatewayComponents wire(Meters meters) {
     Platform platform = CountedPlatform.of(adapter.platform(vertx, settings), meters);
     LatePeers late = new LatePeers();
@@ -161,7 +162,7 @@
         RolloutDirector.create(tables, platform, membership, clock, meters, settings.bounds());
     RankedSenders senders =
         RankedSenders.create(settings.name(), membership::live, membership::knowsOfOthers, clock);
-    GatewayComponents parts =
+    GatewayComponents components =
         GatewayComponents.create(
             vertx,
             settings,
@@ -179,15 +180,15 @@
             network,
             clock,
             meters,
-            GatheredKnowledge.of(parts, rollouts),
-            parts.crashLedger());
+            GatheredKnowledge.of(components, rollouts),
+            components.crashLedger());
     rollouts.onRefuted(gathering::tellNow);
     late.handOnTo(
         new SharedStatePeers(
             membership,
             configuration,
             (from, message) -> Uni.createFrom().item(gathering.handle(from, message))));
-    gate =
+    readinessGate =
         ReadinessGate.create(
             clock,
             () -> tables.configuration().isPresent(),
@@ -196,8 +197,8 @@
                 !tables.hasRunningRollout()
                     || gathering.hasMet()
                     || gathering.isInformed() && rollouts.knowsOrderAges());
-    front = GatewayServer.create(parts, random, gate::isOpen);
-    PauseWatch pause = PauseWatch.create(clock, parts::handleProcessPause);
+    server = GatewayServer.create(components, random, readinessGate::isOpen);
+    PauseWatch pause = PauseWatch.create(clock, components::handleProcessPause);
     systems =
         List.of(
             pause::check,
@@ -207,7 +208,7 @@
             gathering,
             senders,
             this::openWhenKnown);
-    return parts;
+    return components;
   }
 
   private ConfigurationSystem configurationSystem(
@@ -260,10 +261,10 @@
 
   /** Lets callers go on that came before the instance knew enough. */
   private void openWhenKnown() {
-    if (gate.opens()) {
+    if (readinessGate.opens()) {
       servingAt = Optional.of(clock.instant());
       tables.allRead();
-      front.startWaitingRequests();
+      server.startWaitingRequests();
       noteStarted();
     }
   }
@@ -275,7 +276,7 @@
   }
 
   private boolean isReady() {
-    return !stopping && gate.isOpen() && !tables.upstreamNames().isEmpty();
+    return !stopping && readinessGate.isOpen() && !tables.upstreamNames().isEmpty();
   }
 
   /**
@@ -303,11 +304,11 @@
     context.runOnContext(
         unused -> {
           logger.atInfo().log(
-              "instance %s stops as planned, %d open", settings.name(), front.openRequests());
+              "instance %s stops as planned, %d open", settings.name(), server.openRequests());
           stopping = true;
           membership.leave();
           long grace = settings.bounds().grace().minus(CUT_BEFORE_END).toMillis();
-          front.beginShutdown(clock.instant().plusMillis(grace));
+          server.beginShutdown(clock.instant().plusMillis(grace));
           vertx.setTimer(BALANCER_LAG.toMillis(), timer -> finishOpen(promise));
           vertx.setTimer(Math.max(1, grace), timer -> endGrace(promise));
         });
@@ -315,11 +316,11 @@
   }
 
   private void finishOpen(Promise<Void> promise) {
-    front.closeIdleConnections();
+    server.closeIdleConnections();
     vertx.setPeriodic(
         STOP_POLL_MILLIS,
         timer -> {
-          if (front.openRequests() == 0) {
+          if (server.openRequests() == 0) {
             vertx.cancelTimer(timer);
             promise.tryComplete();
           }
@@ -328,8 +329,8 @@
 
   private void endGrace(Promise<Void> promise) {
     logger.atInfo().log(
-        "instance %s ends its grace, %d cut", settings.name(), front.openRequests());
-    front.closeAllConnections();
+        "instance %s ends its grace, %d cut", settings.name(), server.openRequests());
+    server.closeAllConnections();
     vertx.setTimer(STOP_POLL_MILLIS, timer -> promise.tryComplete());
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/CallerLeftTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/CallerLeftTest.java
@@ -28,16 +28,16 @@
 public class CallerLeftTest {
   private static final int TIMEOUT_SECONDS = 10;
 
-  private GatewayServerFixture front;
+  private GatewayServerFixture server;
 
   @BeforeMethod
   void begin() {
-    front = new GatewayServerFixture();
+    server = new GatewayServerFixture();
   }
 
   @AfterMethod
   void end() {
-    front.close();
+    server.close();
   }
 
   private static Socket send(int port, String id) throws IOException {
@@ -65,12 +65,12 @@
 
   @Test
   public void testRequestIsNotSentOnAfterItsCallerDisconnected() throws Exception {
-    final UpstreamStandin upstream = front.addUpstream("only", "hall-a");
-    int port = front.listen();
+    final UpstreamStandin upstream = server.addUpstream("only", "hall-a");
+    int port = server.listen();
     CountDownLatch chosen = new CountDownLatch(1);
     CountDownLatch disconnected = new CountDownLatch(1);
     AtomicInteger choices = new AtomicInteger();
-    front.onChoice(
+    server.onChoice(
         () -> {
           if (choices.getAndIncrement() == 0) {
             chosen.countDown();
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayDecisionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayDecisionTest.java
@@ -129,11 +129,11 @@
         "pool", constraint, Optional.empty(), Optional.empty(), 0, excluded, false);
   }
 
-  private UpstreamRateLimits unlimitedGate() {
-    return gate(AdvertisedLimits.create(clock), RateSenders.alone());
+  private UpstreamRateLimits noRateLimits() {
+    return rateLimits(AdvertisedLimits.create(clock), RateSenders.alone());
   }
 
-  private UpstreamRateLimits gate(AdvertisedLimits limits, RateSenders senders) {
+  private UpstreamRateLimits rateLimits(AdvertisedLimits limits, RateSenders senders) {
     GatewaySettings.Bounds bounds =
         new GatewaySettings.Bounds(
             Duration.ofSeconds(8), 0.9, 52, 0.15, Duration.ofSeconds(5), 1.5, 5);
@@ -150,7 +150,8 @@
     limits.advertised(tables.row("i-1").process(), 1);
     RateSenders noOtherSenders =
         new RateSenders(SenderSelection.ALONE, (upstream, zone, most, turn) -> 0);
-    UpstreamEligibility eligibility = UpstreamEligibility.of(tables, gate(limits, noOtherSenders));
+    UpstreamEligibility eligibility =
+        UpstreamEligibility.of(tables, rateLimits(limits, noOtherSenders));
     for (int connection = 0; connection < 100; connection++) {
       tables.row("i-2").reserve();
     }
@@ -169,7 +170,7 @@
         EngineSpeeds.create(),
         OpenReading.create(),
         ZoneReach.create(),
-        unlimitedGate(),
+        noRateLimits(),
         unused -> false,
         new Random(1));
   }
@@ -207,7 +208,7 @@
   }
 
   @Test
-  public void testBodiesAreHeldWithinTheMemoryLimit() {
+  public void testBodyMemoryStaysWithinTheBudget() {
     BodyMemoryBudget budget = BodyMemoryBudget.within(100);
     assertTrue(budget.tryReserve(60));
     assertFalse(budget.tryReserve(41));
@@ -345,7 +346,7 @@
     speeds.heard("m", new ReadingLine(20, millisPerToken));
     UpstreamSelection selection =
         UpstreamSelection.create(
-            zone, tables, speeds, reading, zones, unlimitedGate(), unused -> false, new Random(1));
+            zone, tables, speeds, reading, zones, noRateLimits(), unused -> false, new Random(1));
     List<PromptPart> parts = List.of(new PromptPart(7, 13_000), new PromptPart(8, 4000));
     Generation generation = new Generation("*", 17_000, 300, parts, OptionalInt.empty());
     UpstreamSelection.Criteria criteria =
@@ -473,7 +474,7 @@
   }
 
   @Test
-  public void testPoorResponseIsReplacedOnlyIfEscalationHasHigherValue() {
+  public void testLowConfidenceResponseIsReplacedOnlyIfEscalationHasHigherValue() {
     configuration(1, "k");
     ResponseTimes times = ResponseTimes.create(clock);
     assertEquals(escalation(times, 0, 10, 100), OptionalInt.of(2));
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayServerFixture.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayServerFixture.java
@@ -51,7 +51,7 @@
   private final Vertx vertx = Vertx.vertx();
   private volatile Runnable onChoice = () -> {};
   private long revision;
-  private GatewayComponents parts;
+  private GatewayComponents components;
 
   /** Sets an action to run on the event loop during each choice among candidate upstreams. */
   void onChoice(Runnable action) {
@@ -69,7 +69,7 @@
 
   /** Notifies the instance that it was suspended. */
   void notifySuspension() {
-    vertx.runOnContext(unused -> parts.handleProcessPause());
+    vertx.runOnContext(unused -> components.handleProcessPause());
   }
 
   private void put(String kind, String name, Object value) {
@@ -145,7 +145,7 @@
           onChoice.run();
           return 0;
         };
-    parts =
+    components =
         GatewayComponents.create(
             vertx,
             settings,
@@ -157,7 +157,7 @@
             () -> 1,
             interruptedChoice,
             Meters.of(new MetricRegistry()));
-    GatewayServer.create(parts, new Random(1), () -> true)
+    GatewayServer.create(components, new Random(1), () -> true)
         .listen()
         .toCompletionStage()
         .toCompletableFuture()
@@ -174,7 +174,7 @@
   private static final class AnyVersion implements VersionRule {
     @Override
     public Optional<VersionPreference> preferenceFor(
-        String service, RequestHead head, PriorAttempts tried) {
+        String service, RequestHead head, PriorAttempts priorAttempts) {
       return Optional.empty();
     }
 
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/LeavingUpstreamTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/LeavingUpstreamTest.java
@@ -28,16 +28,16 @@
   private static final String NEAR = "near";
   private static final String FAR = "far";
 
-  private GatewayServerFixture front;
+  private GatewayServerFixture server;
 
   @BeforeMethod
   void begin() {
-    front = new GatewayServerFixture();
+    server = new GatewayServerFixture();
   }
 
   @AfterMethod
   void end() {
-    front.close();
+    server.close();
   }
 
   private static HttpResponse<String> send(int port) throws IOException, InterruptedException {
@@ -54,10 +54,10 @@
 
   @Test
   public void testRequestIsRedirectedWhenItsUpstreamLeavesBeforeTheWrite() throws Exception {
-    final UpstreamStandin near = front.addUpstream(NEAR, "hall-a");
-    final UpstreamStandin far = front.addUpstream(FAR, "hall-b");
-    int port = front.listen();
-    front.onChoice(() -> front.markDraining(NEAR));
+    final UpstreamStandin near = server.addUpstream(NEAR, "hall-a");
+    final UpstreamStandin far = server.addUpstream(FAR, "hall-b");
+    int port = server.listen();
+    server.onChoice(() -> server.markDraining(NEAR));
     assertEquals(send(port).statusCode(), 200);
     assertEquals(near.arrivals().size(), 0, "requests at the leaving upstream");
     assertEquals(far.arrivals().size(), 1, "requests at the other upstream");
@@ -66,10 +66,10 @@
   /** The upstream may ask to back off while the connection for this request is being opened. */
   @Test
   public void testRequestIsRedirectedWhenItsUpstreamBacksOffBeforeTheWrite() throws Exception {
-    final UpstreamStandin near = front.addUpstream(NEAR, "hall-a");
-    final UpstreamStandin far = front.addUpstream(FAR, "hall-b");
-    int port = front.listen();
-    front.onChoice(() -> front.askToBackOff(NEAR, Duration.ofMinutes(1)));
+    final UpstreamStandin near = server.addUpstream(NEAR, "hall-a");
+    final UpstreamStandin far = server.addUpstream(FAR, "hall-b");
+    int port = server.listen();
+    server.onChoice(() -> server.askToBackOff(NEAR, Duration.ofMinutes(1)));
     assertEquals(send(port).statusCode(), 200);
     assertEquals(near.arrivals().size(), 0, "requests at the upstream that asked to back off");
     assertEquals(far.arrivals().size(), 1, "requests at the other upstream");
@@ -77,9 +77,9 @@
 
   @Test
   public void testRequestIsRefusedAsNotRunWithoutAnotherUpstream() throws Exception {
-    final UpstreamStandin near = front.addUpstream(NEAR, "hall-a");
-    int port = front.listen();
-    front.onChoice(() -> front.markDraining(NEAR));
+    final UpstreamStandin near = server.addUpstream(NEAR, "hall-a");
+    int port = server.listen();
+    server.onChoice(() -> server.markDraining(NEAR));
     assertEquals(send(port).statusCode(), 503);
     assertEquals(near.arrivals().size(), 0, "requests at the leaving upstream");
   }
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/RolloutDecisionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/RolloutDecisionTest.java
@@ -156,14 +156,14 @@
   }
 
   @Test
-  public void testPaceIsReportedOnceAndNotForStreamThatWaitsForItsCaller() {
-    StreamEventInterval pace = new StreamEventInterval();
-    assertTrue(pace.add(1, now).isEmpty());
+  public void testEventIntervalIsReportedOnceAndNotForStreamThatWaitsForItsCaller() {
+    StreamEventInterval interval = new StreamEventInterval();
+    assertTrue(interval.add(1, now).isEmpty());
     for (int event = 1; event < 7; event++) {
-      assertTrue(pace.add(1, now.plusMillis(50L * event)).isEmpty());
+      assertTrue(interval.add(1, now.plusMillis(50L * event)).isEmpty());
     }
-    assertEquals(pace.add(1, now.plusMillis(350)).orElseThrow(), 50.0);
-    assertTrue(pace.end().isEmpty());
+    assertEquals(interval.add(1, now.plusMillis(350)).orElseThrow(), 50.0);
+    assertTrue(interval.end().isEmpty());
     StreamEventInterval waiting = new StreamEventInterval();
     waiting.add(2, now);
     waiting.discard();
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/SessionVersionCacheTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/SessionVersionCacheTest.java
@@ -30,68 +30,67 @@
 
   @Test
   public void testSessionThatWouldMoveIsReplicatedOncePerPause() {
-    SessionVersionCache replicated = sessions();
-    replicated.recordLocal(SERVICE, 1, "v1", start);
-    replicated.recordLocal(SERVICE, 99, "v1", start);
-    assertEquals(replicated.drainPending(start), List.of(seenNow(1, "v1")));
-    replicated.recordLocal(SERVICE, 1, "v1", start.plusMillis(50));
-    assertEquals(replicated.drainPending(start.plusMillis(100)), List.of());
+    SessionVersionCache cache = sessions();
+    cache.recordLocal(SERVICE, 1, "v1", start);
+    cache.recordLocal(SERVICE, 99, "v1", start);
+    assertEquals(cache.drainPending(start), List.of(seenNow(1, "v1")));
+    cache.recordLocal(SERVICE, 1, "v1", start.plusMillis(50));
+    assertEquals(cache.drainPending(start.plusMillis(100)), List.of());
     Instant later = start.plus(PAUSE);
-    replicated.recordLocal(SERVICE, 1, "v1", later);
-    assertEquals(replicated.drainPending(later), List.of(seenNow(1, "v1")));
+    cache.recordLocal(SERVICE, 1, "v1", later);
+    assertEquals(cache.drainPending(later), List.of(seenNow(1, "v1")));
   }
 
   @Test
   public void testSessionThatMovedIsReplicatedImmediately() {
-    SessionVersionCache replicated = sessions();
-    replicated.recordLocal(SERVICE, 1, "v1", start);
-    assertEquals(replicated.drainPending(start), List.of(seenNow(1, "v1")));
+    SessionVersionCache cache = sessions();
+    cache.recordLocal(SERVICE, 1, "v1", start);
+    assertEquals(cache.drainPending(start), List.of(seenNow(1, "v1")));
     Instant later = start.plusMillis(300);
-    replicated.recordLocal(SERVICE, 1, "v2", later);
+    cache.recordLocal(SERVICE, 1, "v2", later);
     assertEquals(
-        replicated.drainPending(later.plusMillis(40)),
-        List.of(new SeenSession(SERVICE, 1, "v2", 40)));
+        cache.drainPending(later.plusMillis(40)), List.of(new SeenSession(SERVICE, 1, "v2", 40)));
   }
 
   @Test
   public void testSessionThatIsReplicatedAgainStaysKnown() {
-    SessionVersionCache replicated = sessions();
+    SessionVersionCache cache = sessions();
     Instant now = start;
     for (int pause = 0; pause < 10; pause++) {
       now = start.plus(PAUSE.multipliedBy(pause));
-      replicated.recordRemote(seenNow(1, "v1"), now);
+      cache.recordRemote(seenNow(1, "v1"), now);
     }
     Instant queriedAt = now.plus(PAUSE);
-    assertEquals(replicated.of(SERVICE).lastVersion(1, queriedAt), Optional.of("v1"));
+    assertEquals(cache.of(SERVICE).lastVersion(1, queriedAt), Optional.of("v1"));
   }
 
   @Test
   public void testLatestObservationWinsWhicheverInstanceMadeIt() {
-    SessionVersionCache replicated = sessions();
-    replicated.recordLocal(SERVICE, 1, "v1", start);
+    SessionVersionCache cache = sessions();
+    cache.recordLocal(SERVICE, 1, "v1", start);
     Instant now = start.plusMillis(800);
-    replicated.recordRemote(new SeenSession(SERVICE, 1, "v2", 900), now);
-    assertEquals(replicated.of(SERVICE).lastVersion(1, now), Optional.of("v1"));
-    replicated.recordRemote(new SeenSession(SERVICE, 1, "v2", 100), now);
-    assertEquals(replicated.of(SERVICE).lastVersion(1, now), Optional.of("v2"));
+    cache.recordRemote(new SeenSession(SERVICE, 1, "v2", 900), now);
+    assertEquals(cache.of(SERVICE).lastVersion(1, now), Optional.of("v1"));
+    cache.recordRemote(new SeenSession(SERVICE, 1, "v2", 100), now);
+    assertEquals(cache.of(SERVICE).lastVersion(1, now), Optional.of("v2"));
   }
 
   /** A new collector receives all sessions, including those replicated from other instances. */
   @Test
   public void testNewCollectorReceivesAllUnexpiredSessions() {
-    SessionVersionCache replicated = sessions();
-    replicated.recordLocal(SERVICE, 1, "v1", start);
-    replicated.recordRemote(seenNow(2, "v2"), start);
-    replicated.recordLocal(SERVICE, 99, "v1", start);
-    assertEquals(replicated.drainPending(start).size(), 1);
+    SessionVersionCache cache = sessions();
+    cache.recordLocal(SERVICE, 1, "v1", start);
+    cache.recordRemote(seenNow(2, "v2"), start);
+    cache.recordLocal(SERVICE, 99, "v1", start);
+    assertEquals(cache.drainPending(start).size(), 1);
     Instant later = start.plusMillis(20);
     assertEquals(
-        Set.copyOf(replicated.matching(later, observation -> true)),
+        Set.copyOf(cache.matching(later, observation -> true)),
         Set.of(new SeenSession(SERVICE, 1, "v1", 20), new SeenSession(SERVICE, 2, "v2", 20)));
     assertEquals(
-        replicated.matching(later, SessionVersions.Observation::isLocal),
+        cache.matching(later, SessionVersions.Observation::isLocal),
         List.of(new SeenSession(SERVICE, 1, "v1", 20)));
     assertEquals(
-        replicated.matching(start.plus(PAUSE.multipliedBy(10)), observation -> true), List.of());
+        cache.matching(start.plus(PAUSE.multipliedBy(10)), observation -> true), List.of());
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/SuspendedRequestTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/SuspendedRequestTest.java
@@ -33,20 +33,20 @@
   /** Less than the time left on a timer that does not count the suspension. */
   private static final long WAIT_SECONDS = 30;
 
-  private GatewayServerFixture front;
+  private GatewayServerFixture server;
   private UpstreamStandin upstream;
   private int port;
 
   @BeforeMethod
   void begin() throws Exception {
-    front = new GatewayServerFixture();
-    upstream = front.addUpstream("near", "hall-a");
-    port = front.listen();
+    server = new GatewayServerFixture();
+    upstream = server.addUpstream("near", "hall-a");
+    port = server.listen();
   }
 
   @AfterMethod
   void end() {
-    front.close();
+    server.close();
   }
 
   private CompletableFuture<HttpResponse<String>> send() {
@@ -63,7 +63,7 @@
 
   @Test
   public void testRequestIsForwardedWithTheRemainingTime() throws Exception {
-    front.onChoice(() -> front.suspend(SUSPENDED));
+    server.onChoice(() -> server.suspend(SUSPENDED));
     assertEquals(send().get(WAIT_SECONDS, TimeUnit.SECONDS).statusCode(), 200);
     String remainingMillis = upstream.arrivals().get(0).header("Request-Deadline").orElseThrow();
     Duration maximum = DEADLINE.minus(SUSPENDED);
@@ -74,7 +74,7 @@
 
   @Test
   public void testRequestPastItsDeadlineIsNotForwarded() throws Exception {
-    front.onChoice(() -> front.suspend(DEADLINE));
+    server.onChoice(() -> server.suspend(DEADLINE));
     HttpResponse<String> answer = send().get(WAIT_SECONDS, TimeUnit.SECONDS);
     assertEquals(answer.statusCode(), 503);
     assertEquals(upstream.arrivals().size(), 0);
@@ -85,8 +85,8 @@
     upstream.setBehaviour(Behaviour.HANGS);
     final CompletableFuture<HttpResponse<String>> answer = send();
     Await.until("the request has arrived", () -> !upstream.arrivals().isEmpty());
-    front.suspend(DEADLINE);
-    front.notifySuspension();
+    server.suspend(DEADLINE);
+    server.notifySuspension();
     assertEquals(answer.get(WAIT_SECONDS, TimeUnit.SECONDS).statusCode(), 504);
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/test/KeptVersionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/KeptVersionTest.java
@@ -40,9 +40,9 @@
 /**
  * What becomes of a session's request that failed on a version, or finds no upstream of it.
  *
- * <p>A wish for a version was no rule: a request that failed on the new version went to the old one
- * from evidence 1 on, which a good version reaches in up to one of three roll-outs, and one whose
- * version had no free upstream went to any. Its session had then changed version.
+ * <p>A version preference was not binding: a request that failed on the new version went to the old
+ * one from evidence 1 on, which a good version reaches in up to one of three roll-outs, and one
+ * whose version had no free upstream went to any. Its session had then changed version.
  */
 public class KeptVersionTest {
   private static final Duration ORDERED = Duration.ofSeconds(24);
@@ -83,8 +83,8 @@
         Optional.empty());
   }
 
-  private VersionPreference preferenceFor(String session, PriorAttempts tried) {
-    return director.preferenceFor(SERVICE, requestOf(session), tried).orElseThrow();
+  private VersionPreference preferenceFor(String session, PriorAttempts priorAttempts) {
+    return director.preferenceFor(SERVICE, requestOf(session), priorAttempts).orElseThrow();
   }
 
   private static PriorAttempts failedAt(String version, VersionPreference first) {
--- a/org.oatlug.test/tst/org/oatlug/test/RolloutFleet.java
+++ b/org.oatlug.test/tst/org/oatlug/test/RolloutFleet.java
@@ -116,7 +116,7 @@
     private final GatewayTables tables;
     private final RolloutDirector director;
     private final GatherSystem gathering;
-    private final ReadinessGate gate;
+    private final ReadinessGate readinessGate;
 
     private Instance(Member self, Duration clockError) {
       InstantSource clock = () -> time.instant().plus(clockError);
@@ -128,7 +128,7 @@
           GatherSystem.create(
               membership, this::ask, clock, meters, this, CrashLedger.create(clock));
       director.onRefuted(gathering::tellNow);
-      gate =
+      readinessGate =
           ReadinessGate.create(
               clock,
               () -> true,
@@ -157,7 +157,7 @@
       if (isUp()) {
         director.tick();
         gathering.tick();
-        gate.opens();
+        readinessGate.opens();
         time.after(TICK, this::tick);
       }
     }
@@ -191,9 +191,10 @@
               Optional.of(session),
               OptionalLong.empty(),
               Optional.empty());
-      Optional<VersionRule.VersionPreference> wish =
+      Optional<VersionRule.VersionPreference> preference =
           director.preferenceFor(SERVICE, head, VersionRule.PriorAttempts.NOTHING);
-      boolean wantsNew = wish.map(one -> one.version().equals(NEW) == one.wanted()).orElse(false);
+      boolean wantsNew =
+          preference.map(one -> one.version().equals(NEW) == one.wanted()).orElse(false);
       String version = wantsNew ? NEW : OLD;
       director.sent(SERVICE, version, head);
       director.answered(
@@ -323,7 +324,7 @@
     List<Instance> serving = new ArrayList<>();
     for (Instance instance : instances.values()) {
       boolean stays = instance.membership.self().state() == Member.State.ALIVE;
-      if (instance.isUp() && stays && instance.gate.isOpen()) {
+      if (instance.isUp() && stays && instance.readinessGate.isOpen()) {
         serving.add(instance);
       }
     }
--- a/org.oatlug.test/tst/org/oatlug/test/RolloutRaceTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/RolloutRaceTest.java
@@ -169,10 +169,10 @@
     instances.forEach(this::read);
     State end = state().orElseThrow();
     boolean wanted = end == State.SUCCEEDED;
-    return instances.stream().allMatch(instance -> wishOf(instance).wanted() == wanted);
+    return instances.stream().allMatch(instance -> preferenceOf(instance).wanted() == wanted);
   }
 
-  private static VersionRule.VersionPreference wishOf(Instance instance) {
+  private static VersionRule.VersionPreference preferenceOf(Instance instance) {
     RequestHead head =
         new RequestHead(
             "id",
--- a/org.oatlug/src/org/oatlug/internal/gateway/Admission.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/Admission.java
@@ -36,12 +36,12 @@
   /** Bytes of a header besides its name and value: colon, space and line break. */
   private static final int SEPARATOR_BYTES = 4;
 
-  private final GatewayComponents parts;
+  private final GatewayComponents components;
   private final BooleanSupplier ready;
   private Optional<PlannedStop> stop = Optional.empty();
 
-  private Admission(GatewayComponents parts, BooleanSupplier ready) {
-    this.parts = parts;
+  private Admission(GatewayComponents components, BooleanSupplier ready) {
+    this.components = components;
     this.ready = ready;
   }
 
@@ -50,8 +50,8 @@
    *
    * @param ready whether the instance is ready to serve
    */
-  static Admission create(GatewayComponents parts, BooleanSupplier ready) {
-    return new Admission(parts, ready);
+  static Admission create(GatewayComponents components, BooleanSupplier ready) {
+    return new Admission(components, ready);
   }
 
   /**
@@ -84,7 +84,8 @@
    * @param abortAt the time at which open requests are aborted
    */
   void beginShutdown(Instant abortAt) {
-    stop = Optional.of(new PlannedStop(parts.clock().instant().plus(STOP_GRACE_PERIOD), abortAt));
+    stop =
+        Optional.of(new PlannedStop(components.clock().instant().plus(STOP_GRACE_PERIOD), abortAt));
   }
 
   /** Returns whether a planned stop has begun. */
@@ -94,13 +95,13 @@
 
   /** Reads the head of a request, and refuses one that is too large or invalid. */
   RequestHead read(HttpServerRequest request) throws RefusedException {
-    int limit = parts.tables().limits().headerBytes();
+    int limit = components.tables().limits().headerBytes();
     if (headBytes(request) > limit) {
       String text = ErrorText.format(ErrorText.get().headerTooLarge, limit);
       throw refused(RefusalReason.HEADER_TOO_LARGE, text);
     }
     try {
-      return parts.adapter().callers().read(request);
+      return components.adapter().callers().read(request);
     } catch (RequestInvalidException e) {
       throw refused(RefusalReason.HEADER_INVALID, e.getMessage());
     }
@@ -122,7 +123,7 @@
     }
     Route route = routeOf(head);
     Optional<WorkspaceKeys> workspace = authenticate(head, route);
-    if (stop.isPresent() && !stop.get().admits(route, parts.clock().instant())) {
+    if (stop.isPresent() && !stop.get().admits(route, components.clock().instant())) {
       throw new RefusedException(
           Refusal.retryAfter(
               RefusalReason.STOPPING, ErrorText.get().stopping, OTHER_INSTANCE_RETRY_DELAY));
@@ -132,7 +133,7 @@
   }
 
   private Route routeOf(RequestHead head) throws RefusedException {
-    return parts
+    return components
         .tables()
         .routes()
         .find(head.host(), head.path())
@@ -145,7 +146,7 @@
 
   private Optional<WorkspaceKeys> authenticate(RequestHead head, Route route)
       throws RefusedException {
-    KeyIndex keys = parts.tables().keys();
+    KeyIndex keys = components.tables().keys();
     Optional<WorkspaceKeys> workspace = head.key().flatMap(keys::find);
     if (!keys.isRequired() || route.openToAll()) {
       return workspace;
@@ -166,7 +167,7 @@
 
   /** Refuses a body that exceeds the limit in force. */
   void checkBodyBytes(long bytes) throws RefusedException {
-    int limit = parts.tables().limits().bodyBytes();
+    int limit = components.tables().limits().bodyBytes();
     if (bytes > limit) {
       String text = ErrorText.format(ErrorText.get().bodyTooLarge, limit);
       throw refused(RefusalReason.BODY_TOO_LARGE, text);
@@ -175,7 +176,7 @@
 
   /** Reserves memory for a part of a body, or refuses it; the caller has to release it. */
   void hold(long bytes) throws RefusedException {
-    if (!parts.bodyMemory().tryReserve(bytes)) {
+    if (!components.bodyMemory().tryReserve(bytes)) {
       throw new RefusedException(
           Refusal.retryAfter(RefusalReason.OVERLOADED, ErrorText.get().overloaded, RETRY_DELAY));
     }
--- a/org.oatlug/src/org/oatlug/internal/gateway/AttemptFeedback.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/AttemptFeedback.java
@@ -22,7 +22,7 @@
 final class AttemptFeedback {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  private final GatewayComponents parts;
+  private final GatewayComponents components;
   private final AdmittedRequest request;
   private final UpstreamSelection.Chosen chosen;
   private final String model;
@@ -33,11 +33,11 @@
   private boolean promptQueued;
 
   AttemptFeedback(
-      GatewayComponents parts,
+      GatewayComponents components,
       AdmittedRequest request,
       UpstreamSelection.Chosen chosen,
       Optional<String> model) {
-    this.parts = parts;
+    this.components = components;
     this.request = request;
     this.chosen = chosen;
     this.model = model.orElse("");
@@ -46,7 +46,7 @@
   }
 
   private Instant now() {
-    return parts.clock().instant();
+    return components.clock().instant();
   }
 
   /** Returns the start time of the attempt. */
@@ -62,10 +62,11 @@
   /** Records that the attempt begins, and reserves load, queue time and rate limit permits. */
   void begin() {
     chosen.row().reserve();
-    reservation = Optional.of(parts.rates().reserve(chosen.name(), chosen.upstream(), started));
+    reservation =
+        Optional.of(components.rates().reserve(chosen.name(), chosen.upstream(), started));
     promptQueued = true;
-    parts.reading().begin(process, chosen.forecast().readingMillis());
-    parts.versions().sent(request.service(), chosen.upstream().version(), request.head());
+    components.reading().begin(process, chosen.forecast().readingMillis());
+    components.versions().sent(request.service(), chosen.upstream().version(), request.head());
     request
         .head()
         .generation()
@@ -79,7 +80,8 @@
    */
   Optional<UpstreamEligibility.Exclusion> write() {
     Instant now = now();
-    Optional<UpstreamEligibility.Exclusion> refused = reservation.flatMap(held -> held.write(now));
+    Optional<UpstreamEligibility.Exclusion> refused =
+        reservation.flatMap(reserved -> reserved.write(now));
     if (refused.isEmpty()) {
       writtenAt = Optional.of(now);
     }
@@ -89,11 +91,14 @@
   /** Records that the response begins, whatever its status, and applies its load information. */
   void responseHeadReceived(AnswerHead head) {
     dequeuePrompt();
-    parts.zones().reached(chosen.upstream().zone());
+    components.zones().reached(chosen.upstream().zone());
     head.load()
         .ifPresent(
             load ->
-                parts.tables().loads().report(chosen.row(), load.running(), load.waiting(), false));
+                components
+                    .tables()
+                    .loads()
+                    .report(chosen.row(), load.running(), load.waiting(), false));
     head.coldMillis().ifPresent(millis -> chosen.row().coldUntil(now().plusMillis(millis)));
     head.rest().ifPresent(this::backOff);
     applyLimit(head);
@@ -103,7 +108,7 @@
   }
 
   private void backOff(Duration rest) {
-    parts.meters().count("upstream.asked-for-rest");
+    components.meters().count("upstream.asked-for-rest");
     chosen.row().restUntil(now().plus(rest));
   }
 
@@ -120,12 +125,12 @@
   }
 
   private void recordLimit(UpstreamRow row, double requestsPerSecond) {
-    parts.meters().count("upstream.limit-advertised");
-    parts.limits().advertised(row.process(), requestsPerSecond);
+    components.meters().count("upstream.limit-advertised");
+    components.limits().advertised(row.process(), requestsPerSecond);
   }
 
   private void recordNoLimit(UpstreamRow row, Instant requestWritten) {
-    parts.limits().notAdvertised(row.process(), requestWritten);
+    components.limits().notAdvertised(row.process(), requestWritten);
   }
 
   /** Returns the row of the upstream that responded, empty if its name is not registered. */
@@ -134,7 +139,7 @@
     if (name.equals(chosen.name())) {
       return Optional.of(chosen.row());
     }
-    return parts.tables().upstream(name).map(unused -> parts.tables().row(name));
+    return components.tables().upstream(name).map(unused -> components.tables().row(name));
   }
 
   /**
@@ -146,7 +151,7 @@
         .filter(row -> !row.leaving())
         .ifPresent(
             row -> {
-              parts.meters().count("upstream.said-leaving");
+              components.meters().count("upstream.said-leaving");
               logger.atInfo().log(
                   "upstream %s announced in a response that it is leaving", row.name());
               row.markLeaving();
@@ -156,7 +161,7 @@
   private void dequeuePrompt() {
     if (promptQueued) {
       promptQueued = false;
-      parts.reading().end(process, chosen.forecast().readingMillis());
+      components.reading().end(process, chosen.forecast().readingMillis());
     }
   }
 
@@ -184,12 +189,12 @@
 
   /** Records that no connection to the upstream could be opened. */
   void connectFailed() {
-    parts.zones().notReached(chosen.upstream().zone(), chosen.name(), now());
+    components.zones().notReached(chosen.upstream().zone(), chosen.name(), now());
   }
 
   /** Reports the outcome of the request on the upstream's version to the version rule. */
   void outcome(boolean bad) {
-    parts
+    components
         .versions()
         .answered(
             new VersionRule.Answer(
@@ -202,8 +207,8 @@
   }
 
   /** Reports the streaming rate of the upstream's version to the version rule. */
-  void pace(double millisPerEvent) {
-    parts
+  void recordEventInterval(double millisPerEvent) {
+    components
         .versions()
         .recordEventInterval(
             new VersionRule.Pace(
@@ -216,29 +221,29 @@
 
   /** Updates the estimates with the time to the response head, and meters the forecast error. */
   void recordTimeToHead() {
-    parts.times().recordHeadTime(timesKey(), took());
+    components.times().recordHeadTime(timesKey(), took());
     HeadForecast forecast = chosen.forecast();
     if (forecast.equals(HeadForecast.NONE)) {
       return;
     }
     Duration error = took().minus(forecast.timeToHead());
-    parts.meters().time(error.isNegative() ? "forecast.early" : "forecast.late", error.abs());
-    parts.speeds().answered(process, model, forecast, took(), now());
+    components.meters().time(error.isNegative() ? "forecast.early" : "forecast.late", error.abs());
+    components.speeds().answered(process, model, forecast, took(), now());
   }
 
   /** Records a pause between events of the stream. */
   void paused(Duration pause) {
-    parts.times().recordPause(timesKey(), pause.toMillis());
+    components.times().recordPause(timesKey(), pause.toMillis());
   }
 
   /** Returns the timeout until the response begins. */
   Duration headTimeout() {
-    return parts.times().headTimeout(timesKey());
+    return components.times().headTimeout(timesKey());
   }
 
   /** Returns the timeout between two events of a stream. */
   Duration pauseTimeout() {
-    return parts.times().pauseTimeout(timesKey());
+    return components.times().pauseTimeout(timesKey());
   }
 
   private ResponseTimes.Key timesKey() {
--- a/org.oatlug/src/org/oatlug/internal/gateway/BodyMemoryBudget.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/BodyMemoryBudget.java
@@ -6,7 +6,8 @@
 /**
  * Limits the bytes of bodies that all open requests of an instance hold in memory.
  *
- * <p>Invariant: the bytes held never exceed the limit. Owned by one event loop, not thread-safe.
+ * <p>Invariant: the reserved bytes never exceed the limit. Owned by one event loop, not
+ * thread-safe.
  */
 final class BodyMemoryBudget {
   /** Three eighths of the 64 MB heap with which an instance is deployed. */
@@ -19,17 +20,17 @@
     this.maximumBytes = maximumBytes;
   }
 
-  /** Returns a limit of the default size. */
+  /** Returns a budget of the default size. */
   static BodyMemoryBudget create() {
     return new BodyMemoryBudget(DEFAULT_MAXIMUM_BYTES);
   }
 
-  /** Returns a limit of the given size in bytes. */
+  /** Returns a budget of the given size in bytes. */
   static BodyMemoryBudget within(long maximumBytes) {
     return new BodyMemoryBudget(maximumBytes);
   }
 
-  /** Reserves the bytes; returns false and reserves nothing if that would exceed the limit. */
+  /** Reserves the bytes; returns false and reserves nothing if that would exceed the budget. */
   boolean tryReserve(long bytes) {
     if (reservedBytes + bytes > maximumBytes) {
       return false;
--- a/org.oatlug/src/org/oatlug/internal/gateway/BufferedResponse.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/BufferedResponse.java
@@ -21,19 +21,19 @@
    */
   private static final int MAXIMUM_BUFFERED_BYTES = 256 * 1024;
 
-  private final GatewayComponents parts;
-  private final CallerResponse answer;
+  private final GatewayComponents components;
+  private final CallerResponse callerResponse;
   private final Buffer body = Buffer.buffer();
   private boolean forwarded;
 
-  private BufferedResponse(GatewayComponents parts, CallerResponse answer) {
-    this.parts = parts;
-    this.answer = answer;
+  private BufferedResponse(GatewayComponents components, CallerResponse callerResponse) {
+    this.components = components;
+    this.callerResponse = callerResponse;
   }
 
   /** Returns an empty buffer for an answer. */
-  static BufferedResponse create(GatewayComponents parts, CallerResponse answer) {
-    return new BufferedResponse(parts, answer);
+  static BufferedResponse create(GatewayComponents components, CallerResponse callerResponse) {
+    return new BufferedResponse(components, callerResponse);
   }
 
   /**
@@ -43,13 +43,14 @@
    */
   void append(HttpClientResponse response, Buffer part, Consumer<Buffer> writer) {
     boolean fits = body.length() + part.length() <= MAXIMUM_BUFFERED_BYTES;
-    if (!answer.isBegun() && fits && parts.bodyMemory().tryReserve(part.length())) {
+    if (!callerResponse.isBegun() && fits && components.bodyMemory().tryReserve(part.length())) {
       body.appendBuffer(part);
       return;
     }
-    if (!answer.isBegun()) {
+    if (!callerResponse.isBegun()) {
       forwarded = true;
-      answer.begin(response.statusCode(), parts.adapter().upstreams().passedBack(response));
+      callerResponse.begin(
+          response.statusCode(), components.adapter().upstreams().passedBack(response));
       writer.accept(body);
     }
     writer.accept(part);
@@ -62,15 +63,16 @@
 
   /** Ends the caller's answer, sending the buffered bytes if no part was forwarded. */
   void finish(HttpClientResponse response) {
-    if (answer.isBegun()) {
-      answer.end();
+    if (callerResponse.isBegun()) {
+      callerResponse.end();
       return;
     }
-    answer.sendWhole(response.statusCode(), parts.adapter().upstreams().passedBack(response), body);
+    callerResponse.sendWhole(
+        response.statusCode(), components.adapter().upstreams().passedBack(response), body);
   }
 
   /** Returns the buffered bytes to the shared limit; to be called once. */
   void release() {
-    parts.bodyMemory().releaseBytes(body.length());
+    components.bodyMemory().releaseBytes(body.length());
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/Exchange.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/Exchange.java
@@ -42,8 +42,8 @@
 
   private static final long NO_TIMER = -1;
 
-  private final GatewayComponents parts;
-  private final CallerResponse answer;
+  private final GatewayComponents components;
+  private final CallerResponse callerResponse;
   private final AdmittedRequest request;
   private final Route route;
   private final Set<String> triedUpstreams = new HashSet<>();
@@ -59,38 +59,40 @@
   private Optional<VersionDecisionInputs> firstBasis = Optional.empty();
   private ExchangeAttempt currentAttempt;
 
-  private Exchange(GatewayComponents parts, CallerResponse answer, AdmittedRequest request) {
-    this.parts = parts;
-    this.answer = answer;
+  private Exchange(
+      GatewayComponents components, CallerResponse callerResponse, AdmittedRequest request) {
+    this.components = components;
+    this.callerResponse = callerResponse;
     this.request = request;
     this.route = request.route();
     this.relay = StreamRelay.after(request.head().resumeAfter());
-    this.requestGuard = parts.crashes().guard(request);
+    this.requestGuard = components.crashes().guard(request);
   }
 
   /** Starts handling a request. */
-  static void start(GatewayComponents parts, CallerResponse answer, AdmittedRequest request) {
-    new Exchange(parts, answer, request).start();
+  static void start(
+      GatewayComponents components, CallerResponse callerResponse, AdmittedRequest request) {
+    new Exchange(components, callerResponse, request).start();
   }
 
   private void start() {
     if (refuseIfCrashing()) {
       return;
     }
-    deadlineTimer = parts.deadlines().schedule(request.deadline(), this::deadlinePassed);
-    answer.onDisconnect(this::callerDisconnected);
-    parts.budgets().of(request.service()).firstTry();
-    stage = route.isCascade() ? parts.stages().first(route) : 0;
-    parts.turns().enter(this);
+    deadlineTimer = components.deadlines().schedule(request.deadline(), this::deadlinePassed);
+    callerResponse.onDisconnect(this::callerDisconnected);
+    components.budgets().of(request.service()).firstTry();
+    stage = route.isCascade() ? components.stages().first(route) : 0;
+    components.turns().enter(this);
   }
 
   /** Sends the request to its first upstream; returns false if it could no longer be served. */
   boolean sendFirst() {
-    if (answer.isEnded()) {
+    if (callerResponse.isEnded()) {
       return false;
     }
-    if (answer.isCallerDisconnected()) {
-      parts.meters().count("request.withheld-caller-left");
+    if (callerResponse.isCallerDisconnected()) {
+      components.meters().count("request.withheld-caller-left");
       return false;
     }
     if (!hasTimeForAttempt()) {
@@ -101,12 +103,12 @@
     return true;
   }
 
-  GatewayComponents parts() {
-    return parts;
+  GatewayComponents components() {
+    return components;
   }
 
-  CallerResponse answer() {
-    return answer;
+  CallerResponse callerResponse() {
+    return callerResponse;
   }
 
   AdmittedRequest request() {
@@ -125,7 +127,7 @@
 
   /** Returns the time left until the deadline of the request; negative after it. */
   Duration remainingTime() {
-    return Duration.between(parts.clock().instant(), request.deadline());
+    return Duration.between(components.clock().instant(), request.deadline());
   }
 
   /** Returns the crash guard's state of the request. */
@@ -165,7 +167,7 @@
   private void giveUpWithoutUpstream() {
     String service = request.service();
     RefusalReason reason =
-        parts.selection().eligibility().refusalReason(service, parts.clock().instant());
+        components.selection().eligibility().refusalReason(service, components.clock().instant());
     String pattern =
         switch (reason) {
           case ZONES_EMPTIED -> ErrorText.get().zonesEmptied;
@@ -183,8 +185,8 @@
   }
 
   private Duration retryAfterAtAcceptedRate(String service) {
-    double accepted = parts.rates().totalAdvertisedRate(service);
-    return parts.spread().paced(service, accepted, parts.clock().instant());
+    double accepted = components.rates().totalAdvertisedRate(service);
+    return components.retryAfterJitter().paced(service, accepted, components.clock().instant());
   }
 
   private void startAttempt(UpstreamSelection.Chosen chosen) {
@@ -198,7 +200,7 @@
   private void logVersionChoice(VersionRule.VersionPreference preference, String version) {
     boolean satisfied = preference.isSatisfiedBy(version);
     if (!satisfied) {
-      parts.meters().count("version.wish-not-met");
+      components.meters().count("version.wish-not-met");
     }
     preference
         .basis()
@@ -215,9 +217,10 @@
   }
 
   private Optional<UpstreamSelection.Chosen> choose(Optional<String> model) {
-    VersionRule.PriorAttempts history =
+    VersionRule.PriorAttempts priorAttempts =
         new VersionRule.PriorAttempts(lastFailedVersion, firstBasis);
-    versionPreference = parts.versions().preferenceFor(request.service(), request.head(), history);
+    versionPreference =
+        components.versions().preferenceFor(request.service(), request.head(), priorAttempts);
     firstBasis =
         firstBasis.or(() -> versionPreference.flatMap(VersionRule.VersionPreference::basis));
     Optional<UpstreamSelection.Chosen> untried = chooseExcluding(model, triedUpstreams);
@@ -229,7 +232,7 @@
 
   private Optional<UpstreamSelection.Chosen> chooseExcluding(
       Optional<String> model, Set<String> excluded) {
-    UpstreamSelection.Criteria wanted =
+    UpstreamSelection.Criteria criteria =
         new UpstreamSelection.Criteria(
             request.service(),
             versionPreference,
@@ -238,7 +241,7 @@
             request.body().length(),
             Set.copyOf(excluded),
             requestGuard.isSuspect());
-    return parts.selection().choose(wanted, parts.clock().instant());
+    return components.selection().choose(criteria, components.clock().instant());
   }
 
   /** Returns the generation parameters of the request, if it has any, else the unknown ones. */
@@ -248,7 +251,7 @@
 
   /** Returns the time since the request arrived. */
   Duration elapsed() {
-    return Duration.between(request.arrived(), parts.clock().instant());
+    return Duration.between(request.arrived(), components.clock().instant());
   }
 
   private Optional<String> model() {
@@ -279,7 +282,7 @@
   void retryUnsent(String cause) {
     attemptsSent--;
     attemptsNotSent++;
-    parts.meters().count(cause);
+    components.meters().count(cause);
     if (attemptsNotSent < MAXIMUM_UNSENT_ATTEMPTS
         && remainingTime().compareTo(MINIMUM_ATTEMPT_TIME) > 0) {
       sendToNextUpstream();
@@ -301,7 +304,7 @@
     Map<String, Optional<UpstreamSelection.Chosen>> choices = new HashMap<>();
     Function<String, Optional<UpstreamSelection.Chosen>> upstreamOf =
         name -> choices.computeIfAbsent(name, modelName -> choose(Optional.of(modelName)));
-    StageRule.LowConfidenceAnswer droppableAnswer =
+    StageRule.LowConfidenceAnswer lowConfidenceAnswer =
         new StageRule.LowConfidenceAnswer(
             route,
             request.service(),
@@ -314,7 +317,7 @@
                     .apply(name)
                     .map(UpstreamSelection.Chosen::forecast)
                     .orElse(HeadForecast.NEVER));
-    OptionalInt nextStage = parts.stages().replacementStage(droppableAnswer);
+    OptionalInt nextStage = components.stages().replacementStage(lowConfidenceAnswer);
     if (nextStage.isEmpty()) {
       return Optional.empty();
     }
@@ -340,14 +343,14 @@
   boolean tryAcquireRetry(String cause) {
     boolean timeRemains = remainingTime().compareTo(MINIMUM_ATTEMPT_TIME) > 0;
     if (attemptsSent >= route.maximumAttempts() || !timeRemains) {
-      parts.meters().count("retry.no-attempt-left");
+      components.meters().count("retry.no-attempt-left");
       return false;
     }
-    if (!parts.budgets().of(request.service()).takeRetry()) {
-      parts.meters().count("retry.not-in-budget");
+    if (!components.budgets().of(request.service()).takeRetry()) {
+      components.meters().count("retry.not-in-budget");
       return false;
     }
-    parts.meters().count("retry." + cause);
+    components.meters().count("retry." + cause);
     return true;
   }
 
@@ -378,24 +381,24 @@
    * accepts requests again, spread so that callers do not all return at once and are refused again.
    */
   private Optional<Duration> retryAfterBackOff() {
-    return parts
+    return components
         .selection()
         .eligibility()
-        .shortestBackOff(request.service(), parts.clock().instant())
-        .map(parts.spread()::after);
+        .shortestBackOff(request.service(), components.clock().instant())
+        .map(components.retryAfterJitter()::after);
   }
 
   private void refuse(Refusal refusal) {
     finish("refused " + refusal.reason().text() + ": " + refusal.detail());
-    parts.meters().refused(refusal.reason());
-    answer.refuse(refusal, request.head().id());
+    components.meters().refused(refusal.reason());
+    callerResponse.refuse(refusal, request.head().id());
   }
 
   /** Records the outcome of the request; called before its answer is ended. */
   void finish(String outcome) {
-    parts.deadlines().cancel(deadlineTimer);
+    components.deadlines().cancel(deadlineTimer);
     Duration duration = elapsed();
-    parts.meters().time("request." + route.kind().name().toLowerCase(Locale.ROOT), duration);
+    components.meters().time("request." + route.kind().name().toLowerCase(Locale.ROOT), duration);
     log()
         .log(
             "request ended route=%s outcome=%s sent=%d stage=%d events=%d millis=%d",
@@ -404,7 +407,7 @@
 
   /** Returns a log statement for the request, subject to the rate limit of such statements. */
   FluentLogger.Api log() {
-    return parts.logLimit().line(logger, request.head().id());
+    return components.logLimit().line(logger, request.head().id());
   }
 
   /** Returns whether enough time is left for an attempt to produce an answer. */
@@ -414,7 +417,7 @@
 
   /** Refuses the request because its deadline has passed. */
   void deadlinePassed() {
-    if (answer.isEnded()) {
+    if (callerResponse.isEnded()) {
       return;
     }
     boolean possiblyRan = mayHaveRun || currentAttempt != null && currentAttempt.isOpen();
@@ -433,6 +436,6 @@
       currentAttempt.abandon();
     }
     finish("caller disconnected");
-    parts.meters().count("request.caller-gone");
+    components.meters().count("request.caller-gone");
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/ExchangeAttempt.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/ExchangeAttempt.java
@@ -37,17 +37,17 @@
   private static final int OK = 200;
 
   private final Exchange exchange;
-  private final GatewayComponents parts;
+  private final GatewayComponents components;
   private final AdmittedRequest request;
   private final Route route;
-  private final CallerResponse answer;
+  private final CallerResponse callerResponse;
   private final StreamRelay relay;
   private final UpstreamSelection.Chosen chosen;
   private final Optional<String> model;
   private final AttemptFeedback feedback;
-  private final BufferedResponse bufferedAnswer;
-  private final IdleTimeout silenceWatch;
-  private final StreamEventInterval streamPace = new StreamEventInterval();
+  private final BufferedResponse bufferedResponse;
+  private final IdleTimeout idleTimeout;
+  private final StreamEventInterval eventInterval = new StreamEventInterval();
   private final MultiMap headers = MultiMap.caseInsensitiveMultiMap();
   private UpstreamConnection connection;
   private HttpClientResponse response;
@@ -57,16 +57,17 @@
 
   ExchangeAttempt(Exchange exchange, UpstreamSelection.Chosen chosen, Optional<String> model) {
     this.exchange = exchange;
-    this.parts = exchange.parts();
+    this.components = exchange.components();
     this.request = exchange.request();
     this.route = request.route();
-    this.answer = exchange.answer();
+    this.callerResponse = exchange.callerResponse();
     this.relay = exchange.relay();
     this.chosen = chosen;
     this.model = model;
-    this.feedback = new AttemptFeedback(parts, request, chosen, model);
-    this.bufferedAnswer = BufferedResponse.create(parts, answer);
-    this.silenceWatch = IdleTimeout.create(parts, this::silenceTimeout, this::retryElsewhere);
+    this.feedback = new AttemptFeedback(components, request, chosen, model);
+    this.bufferedResponse = BufferedResponse.create(components, callerResponse);
+    this.idleTimeout =
+        IdleTimeout.create(components, this::currentIdleTimeout, this::retryElsewhere);
   }
 
   String upstreamName() {
@@ -87,11 +88,11 @@
       exchange.requestGuard().startIsolated(chosen.name());
     }
     headers.addAll(request.headers());
-    parts.adapter().upstreams().addTerms(headers, terms());
+    components.adapter().upstreams().addTerms(headers, terms());
     logSent();
-    connection = UpstreamConnection.start(parts.client(), outgoingRequest(), this);
+    connection = UpstreamConnection.start(components.client(), outgoingRequest(), this);
     if (route.isRepeatable() && !released) {
-      silenceWatch.start();
+      idleTimeout.start();
     }
   }
 
@@ -103,7 +104,7 @@
         exchange.attemptsSent(),
         route.name(),
         chosen.name(),
-        parts.tables().revisionOf(chosen.name()),
+        components.tables().revisionOf(chosen.name()),
         chosen.upstream().version(),
         model.orElse("-"),
         chosen.row().expectedLoad(),
@@ -121,14 +122,14 @@
         address, request.method(), request.uri(), headers, request.body(), request.hasBody());
   }
 
-  /** Returns the current silence timeout of the upstream. */
-  private Duration silenceTimeout() {
+  /** Returns the current idle timeout of the upstream. */
+  private Duration currentIdleTimeout() {
     return response == null ? feedback.headTimeout() : feedback.pauseTimeout();
   }
 
-  /** Abandons the attempt after the silence timeout, if the request may be sent elsewhere. */
+  /** Abandons the attempt after the idle timeout, if the request may be sent elsewhere. */
   private void retryElsewhere() {
-    if (!bufferedAnswer.isForwarded() && exchange.tryAcquireRetry("upstream-silent")) {
+    if (!bufferedResponse.isForwarded() && exchange.tryAcquireRetry("upstream-silent")) {
       abandon();
       logEvent("silent");
       feedback.failed();
@@ -170,8 +171,8 @@
         exchange.requestGuard().endIsolated();
       }
       feedback.end();
-      bufferedAnswer.release();
-      silenceWatch.stop();
+      bufferedResponse.release();
+      idleTimeout.stop();
     }
   }
 
@@ -183,10 +184,10 @@
    */
   @Override
   public boolean maySend() {
-    if (answer.isCallerDisconnected()) {
+    if (callerResponse.isCallerDisconnected()) {
       release();
       logEvent("withheld, the caller disconnected");
-      parts.meters().count("request.withheld-caller-left");
+      components.meters().count("request.withheld-caller-left");
       return false;
     }
     if (!exchange.hasTimeForAttempt()) {
@@ -199,10 +200,10 @@
       return withhold("the request crashes upstreams", "crashes-upstreams");
     }
     Optional<Exclusion> exclusion =
-        parts
+        components
             .selection()
             .eligibility()
-            .exclusionBeforeWrite(chosen.name(), parts.clock().instant());
+            .exclusionBeforeWrite(chosen.name(), components.clock().instant());
     if (exclusion.isEmpty()) {
       exclusion = feedback.write();
     }
@@ -210,7 +211,7 @@
       return withhold(exclusion.get().reason(), exclusion.get().cause());
     }
     // Updates the remaining time: the host may have been suspended since the first call.
-    parts.adapter().upstreams().addTerms(headers, terms());
+    components.adapter().upstreams().addTerms(headers, terms());
     return true;
   }
 
@@ -226,7 +227,7 @@
   public void headReceived(HttpClientResponse received) {
     response = received;
     activityReceived();
-    AnswerHead head = parts.adapter().upstreams().read(received);
+    AnswerHead head = components.adapter().upstreams().read(received);
     feedback.responseHeadReceived(head);
     if (!head.requestId().equals(Optional.of(request.head().id()))) {
       connection.cancel();
@@ -296,7 +297,7 @@
 
   /** Drops a low-confidence answer and tries another model; returns whether it did. */
   private boolean replaceWithOtherModel(AnswerHead head) {
-    boolean replaceable = route.isCascade() && route.isRepeatable() && !answer.isBegun();
+    boolean replaceable = route.isCascade() && route.isRepeatable() && !callerResponse.isBegun();
     if (!replaceable || head.confidence().isEmpty()) {
       return false;
     }
@@ -321,7 +322,7 @@
             && head.status() == OK
             && contentType != null
             && contentType.startsWith(EVENT_STREAM_TYPE);
-    if (answer.isBegun() && !streaming) {
+    if (callerResponse.isBegun() && !streaming) {
       connection.cancel();
       failed(Progress.ANSWERING, "expected an event stream, status=" + head.status());
     }
@@ -329,7 +330,7 @@
 
   /** Records activity of the upstream, and the pause of the stream before it. */
   private void activityReceived() {
-    Duration pause = silenceWatch.recordActivity();
+    Duration pause = idleTimeout.recordActivity();
     if (streaming) {
       feedback.paused(pause);
     }
@@ -339,41 +340,41 @@
   public void dataReceived(Buffer data) {
     activityReceived();
     if (!streaming) {
-      bufferedAnswer.append(response, data, this::write);
+      bufferedResponse.append(response, data, this::write);
       return;
     }
     long countBefore = relay.eventCount();
     Buffer events = relay.take(data);
     if (events.length() > 0) {
-      streamPace
-          .add(relay.eventCount() - countBefore, parts.clock().instant())
-          .ifPresent(feedback::pace);
+      eventInterval
+          .add(relay.eventCount() - countBefore, components.clock().instant())
+          .ifPresent(feedback::recordEventInterval);
       beginStream();
       write(events);
     }
   }
 
   private void write(Buffer data) {
-    if (answer.write(data, this::drained)) {
-      streamPace.discard();
-      silenceWatch.pause();
+    if (callerResponse.write(data, this::drained)) {
+      eventInterval.discard();
+      idleTimeout.pause();
       connection.pause();
     }
   }
 
   private void drained() {
-    silenceWatch.resume();
+    idleTimeout.resume();
     connection.resume();
   }
 
   private void beginStream() {
-    if (answer.isBegun()) {
+    if (callerResponse.isBegun()) {
       return;
     }
-    MultiMap headers = parts.adapter().upstreams().passedBack(response);
+    MultiMap headers = components.adapter().upstreams().passedBack(response);
     headers.remove("Content-Length");
-    answer.begin(response.statusCode(), headers);
-    parts.meters().time("first-event." + route.name(), exchange.elapsed());
+    callerResponse.begin(response.statusCode(), headers);
+    components.meters().time("first-event." + route.name(), exchange.elapsed());
   }
 
   @Override
@@ -390,14 +391,14 @@
       feedback.succeeded();
     }
     if (streaming) {
-      streamPace.end().ifPresent(feedback::pace);
+      eventInterval.end().ifPresent(feedback::recordEventInterval);
       beginStream();
       exchange.finish("stream");
-      answer.end();
+      callerResponse.end();
       return;
     }
     exchange.finish("status " + response.statusCode());
-    bufferedAnswer.finish(response);
+    bufferedResponse.finish(response);
   }
 
   /**
@@ -424,7 +425,7 @@
     relay.resetForNextUpstream();
     boolean mustStop = recordBreak();
     if (route.isRepeatable()
-        && !bufferedAnswer.isForwarded()
+        && !bufferedResponse.isForwarded()
         && !mustStop
         && exchange.tryAcquireRetry("upstream-" + (streaming ? "stream" : "answer"))) {
       exchange.sendToNextUpstream();
@@ -437,7 +438,7 @@
   private boolean recordBreak() {
     boolean mustStop = exchange.requestGuard().blocksRetry(chosen.row().process());
     // An upstream that drains ends as planned, so the request did not crash it.
-    if (!parts.tables().isLeaving(chosen.name())) {
+    if (!components.tables().isLeaving(chosen.name())) {
       exchange.requestGuard().responseInterrupted(chosen, feedback.started());
     }
     return mustStop;
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayComponents.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayComponents.java
@@ -41,9 +41,9 @@
  * @param budgets the retry budgets
  * @param deadlines the deadline timers of open requests
  * @param turns the queue of requests that have not started
- * @param spread spreads the retry times of refused callers
- * @param times the measured times of answers
- * @param bodyMemory the memory held by request bodies, in bytes
+ * @param retryAfterJitter computes the retry delays of refused callers
+ * @param times the measured times of responses
+ * @param bodyMemory the memory budget of request and response bodies
  * @param logLimit limits the rate of log lines about requests
  * @param meters the counters
  */
@@ -66,7 +66,7 @@
     RetryBudgets budgets,
     DeadlineTimers deadlines,
     TurnLine<Exchange> turns,
-    RetryAfterJitter spread,
+    RetryAfterJitter retryAfterJitter,
     ResponseTimes times,
     BodyMemoryBudget bodyMemory,
     LogRateLimit logLimit,
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayServer.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayServer.java
@@ -56,7 +56,7 @@
           .setMaxInitialLineLength(MAXIMUM_DECODER_HEADER_BYTES)
           .setHandle100ContinueAutomatically(true)
           .setTcpNoDelay(true);
-  private final GatewayComponents parts;
+  private final GatewayComponents components;
   private final RandomGenerator random;
   private final Map<HttpConnection, CallerConnection> connections = new HashMap<>();
   private final Set<OpenRequest> waitingRequests = new LinkedHashSet<>();
@@ -64,11 +64,12 @@
   private final Admission admission;
   private int openRequests;
 
-  private GatewayServer(GatewayComponents parts, RandomGenerator random, BooleanSupplier ready) {
-    this.parts = parts;
+  private GatewayServer(
+      GatewayComponents components, RandomGenerator random, BooleanSupplier ready) {
+    this.components = components;
     this.random = random;
     this.ready = ready;
-    this.admission = Admission.create(parts, ready);
+    this.admission = Admission.create(components, ready);
   }
 
   /**
@@ -77,14 +78,14 @@
    * @param ready returns whether the instance is ready to serve
    */
   public static GatewayServer create(
-      GatewayComponents parts, RandomGenerator random, BooleanSupplier ready) {
-    return new GatewayServer(parts, random, ready);
+      GatewayComponents components, RandomGenerator random, BooleanSupplier ready) {
+    return new GatewayServer(components, random, ready);
   }
 
   /** Starts to accept connections. */
   public Future<HttpServer> listen() {
-    Endpoint endpoint = parts.settings().callers();
-    return parts
+    Endpoint endpoint = components.settings().callers();
+    return components
         .vertx()
         .createHttpServer(options)
         .connectionHandler(this::connected)
@@ -122,7 +123,7 @@
 
   private void connected(HttpConnection connection) {
     CallerConnection callerConnection =
-        CallerConnection.watch(parts.vertx(), connection, () -> parts.tables().limits());
+        CallerConnection.watch(components.vertx(), connection, () -> components.tables().limits());
     connections.put(connection, callerConnection);
     StrictRequestDecoder.install(connection, options, callerConnection::bytesArrived);
     connection.closeHandler(
@@ -138,7 +139,7 @@
       callerConnection.close();
       return;
     }
-    OpenRequest openRequest = new OpenRequest(request, parts.clock().instant());
+    OpenRequest openRequest = new OpenRequest(request, components.clock().instant());
     openRequest.begin();
     if (ready.getAsBoolean() || waitingRequests.size() >= MAXIMUM_WAITING_REQUESTS) {
       openRequest.proceed();
@@ -174,7 +175,7 @@
         admitted.workspace(),
         request.method(),
         request.uri(),
-        parts.adapter().callers().passedOn(request),
+        components.adapter().callers().passedOn(request),
         body,
         hasBody,
         arrived,
@@ -197,7 +198,7 @@
   private final class OpenRequest {
     private final HttpServerRequest request;
     private final Instant arrived;
-    private final CallerResponse answer;
+    private final CallerResponse callerResponse;
     private final Optional<CallerConnection> connection;
     private final Buffer body = Buffer.buffer();
     private long reservedBytes;
@@ -205,7 +206,7 @@
     OpenRequest(HttpServerRequest request, Instant arrived) {
       this.request = request;
       this.arrived = arrived;
-      this.answer = new CallerResponse(request);
+      this.callerResponse = new CallerResponse(request);
       this.connection = Optional.ofNullable(connections.get(request.connection()));
     }
 
@@ -214,13 +215,13 @@
       connection.ifPresent(CallerConnection::requestBegan);
       request.response().endHandler(unused -> ended());
       if (admission.isStopping()) {
-        answer.closeConnectionAfterwards();
+        callerResponse.closeConnectionAfterwards();
       }
     }
 
     private void ended() {
       openRequests--;
-      parts.bodyMemory().releaseBytes(reservedBytes);
+      components.bodyMemory().releaseBytes(reservedBytes);
       connection.ifPresent(CallerConnection::requestEnded);
     }
 
@@ -228,7 +229,7 @@
     void awaitReadiness() {
       request.pause();
       waitingRequests.add(this);
-      parts
+      components
           .vertx()
           .setTimer(
               READINESS_TIMEOUT.toMillis(),
@@ -255,15 +256,17 @@
       request.handler(data -> addToBody(head, data));
       request.endHandler(
           unused -> {
-            if (!answer.isEnded()) {
+            if (!callerResponse.isEnded()) {
               Exchange.start(
-                  parts, answer, admittedRequest(request, head, admitted, body, arrived));
+                  components,
+                  callerResponse,
+                  admittedRequest(request, head, admitted, body, arrived));
             }
           });
     }
 
     private void addToBody(RequestHead head, Buffer data) {
-      if (answer.isEnded()) {
+      if (callerResponse.isEnded()) {
         return;
       }
       try {
@@ -277,8 +280,8 @@
     }
 
     void refuse(Refusal refusal, String requestId) {
-      parts.meters().refused(refusal.reason());
-      parts
+      components.meters().refused(refusal.reason());
+      components
           .logLimit()
           .line(logger, requestId)
           .log(
@@ -288,9 +291,9 @@
         connection.ifPresent(CallerConnection::markFramingInvalid);
       }
       if (!request.isEnded()) {
-        answer.closeConnectionAfterwards();
+        callerResponse.closeConnectionAfterwards();
       }
-      answer.refuse(refusal, requestId);
+      callerResponse.refuse(refusal, requestId);
     }
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatheredKnowledge.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatheredKnowledge.java
@@ -21,30 +21,30 @@
   /** The interval at which speeds are sent; they change with each answer but may be 1 s old. */
   private static final Duration SPEEDS_INTERVAL = Duration.ofSeconds(1);
 
-  private final GatewayComponents parts;
+  private final GatewayComponents components;
   private final RolloutDirector rollouts;
   private Map<String, ReadingLine> speeds = Map.of();
   private Instant speedsAt = Instant.EPOCH;
 
-  private GatheredKnowledge(GatewayComponents parts, RolloutDirector rollouts) {
-    this.parts = parts;
+  private GatheredKnowledge(GatewayComponents components, RolloutDirector rollouts) {
+    this.components = components;
     this.rollouts = rollouts;
   }
 
-  /** Returns the participant that exchanges the state of these parts. */
-  public static GatheredKnowledge of(GatewayComponents parts, RolloutDirector rollouts) {
-    return new GatheredKnowledge(parts, rollouts);
+  /** Returns the participant that exchanges the state of these components. */
+  public static GatheredKnowledge of(GatewayComponents components, RolloutDirector rollouts) {
+    return new GatheredKnowledge(components, rollouts);
   }
 
   @Override
   public Account own() {
-    Instant now = parts.clock().instant();
+    Instant now = components.clock().instant();
     if (!now.isBefore(speedsAt.plus(SPEEDS_INTERVAL))) {
-      speeds = parts.speeds().measured();
+      speeds = components.speeds().measured();
       speedsAt = now;
     }
     return new Account(
-        parts.reading().own(), rollouts.evidence(), speeds, parts.limits().observed());
+        components.reading().own(), rollouts.evidence(), speeds, components.limits().observed());
   }
 
   @Override
@@ -64,10 +64,10 @@
 
   @Override
   public void heard(Account remote) {
-    parts.reading().heard(remote.openMillis(), parts.clock().instant());
-    remote.speeds().forEach(parts.speeds()::heard);
+    components.reading().heard(remote.openMillis(), components.clock().instant());
+    remote.speeds().forEach(components.speeds()::heard);
     remote.evidence().forEach(rollouts::heard);
-    parts.limits().applyReported(remote.limits());
+    components.limits().applyReported(remote.limits());
   }
 
   @Override
--- a/org.oatlug/src/org/oatlug/internal/gateway/IdleTimeout.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/IdleTimeout.java
@@ -13,7 +13,7 @@
  * Detects when the upstream of one attempt sends nothing for too long.
  *
  * <p>Time during which this instance does not read, because the caller reads slowly, does not count
- * as silence. Invariants: the timeout is reported at most once, and never after {@link #stop}. Used
+ * as idle. Invariants: the timeout is reported at most once, and never after {@link #stop}. Used
  * from one event loop.
  */
 final class IdleTimeout {
@@ -28,38 +28,39 @@
   private boolean paused;
   private boolean stopped;
 
-  private IdleTimeout(GatewayComponents parts, Supplier<Duration> timeout, Runnable onTimeout) {
-    this.vertx = parts.vertx();
-    this.clock = parts.clock();
+  private IdleTimeout(
+      GatewayComponents components, Supplier<Duration> timeout, Runnable onTimeout) {
+    this.vertx = components.vertx();
+    this.clock = components.clock();
     this.timeout = timeout;
     this.onTimeout = onTimeout;
     this.lastActivity = clock.instant();
   }
 
   /**
-   * Returns a watch that measures silence from now on and reports none before {@link #start}.
+   * Returns a timeout that measures idle time from now on and reports none before {@link #start}.
    *
    * @param timeout returns the current timeout, called at each check
-   * @param onTimeout called when the upstream has been silent for the timeout
+   * @param onTimeout called when the upstream has been idle for the timeout
    */
   static IdleTimeout create(
-      GatewayComponents parts, Supplier<Duration> timeout, Runnable onTimeout) {
-    return new IdleTimeout(parts, timeout, onTimeout);
+      GatewayComponents components, Supplier<Duration> timeout, Runnable onTimeout) {
+    return new IdleTimeout(components, timeout, onTimeout);
   }
 
-  /** Starts to report a silence that reaches the timeout. */
+  /** Starts to report idle time that reaches the timeout. */
   void start() {
-    long remainingMillis = timeout.get().minus(silence()).toMillis();
+    long remainingMillis = timeout.get().minus(idleTime()).toMillis();
     timer = vertx.setTimer(Math.max(1, remainingMillis), unused -> check());
   }
 
-  /** Stops the watch; nothing is reported afterwards. */
+  /** Stops the timeout; nothing is reported afterwards. */
   void stop() {
     stopped = true;
     vertx.cancelTimer(timer);
   }
 
-  /** Records activity of the upstream; returns the length of the silence before it. */
+  /** Records activity of the upstream; returns the idle time before it. */
   Duration recordActivity() {
     Instant now = clock.instant();
     Duration pause = Duration.between(lastActivity, now);
@@ -78,7 +79,7 @@
     lastActivity = clock.instant();
   }
 
-  private Duration silence() {
+  private Duration idleTime() {
     return Duration.between(lastActivity, clock.instant());
   }
 
@@ -87,7 +88,7 @@
     if (stopped) {
       return;
     }
-    if (!paused && silence().compareTo(timeout.get()) >= 0) {
+    if (!paused && idleTime().compareTo(timeout.get()) >= 0) {
       onTimeout.run();
       return;
     }
--- a/org.oatlug/src/org/oatlug/internal/gateway/InspectionServer.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/InspectionServer.java
@@ -71,29 +71,31 @@
    * shows the upstreams, the evacuated availability zones and the suspected requests, and {@value
    * #LET_RUN_PATH}, which clears one suspected request.
    *
-   * @param parts the components whose decisions are explained
+   * @param components the components whose decisions are explained
    */
-  public Future<HttpServer> listenForOperators(String host, int port, GatewayComponents parts) {
+  public Future<HttpServer> listenForOperators(
+      String host, int port, GatewayComponents components) {
     return vertx
         .createHttpServer()
-        .requestHandler(request -> answerOperator(request, parts))
+        .requestHandler(request -> answerOperator(request, components))
         .listen(port, host);
   }
 
-  private void answerOperator(HttpServerRequest request, GatewayComponents parts) {
+  private void answerOperator(HttpServerRequest request, GatewayComponents components) {
     switch (request.path()) {
-      case EXPLAIN_PATH -> explain(request, parts);
+      case EXPLAIN_PATH -> explain(request, components);
       case STATUS_PATH ->
-          answer(request, Optional.of(InstanceStatus.of(parts, ready.getAsBoolean())));
-      case LET_RUN_PATH -> letRun(request, parts);
+          answer(request, Optional.of(InstanceStatus.of(components, ready.getAsBoolean())));
+      case LET_RUN_PATH -> letRun(request, components);
       default -> showMetrics(request);
     }
   }
 
   /** Clears a suspected request; only by PUT, so that a mere GET has no effect. */
-  private static void letRun(HttpServerRequest request, GatewayComponents parts) {
+  private static void letRun(HttpServerRequest request, GatewayComponents components) {
     boolean forgotten =
-        request.method().equals(HttpMethod.PUT) && parts.crashes().forget(text(request, "request"));
+        request.method().equals(HttpMethod.PUT)
+            && components.crashes().forget(text(request, "request"));
     request
         .response()
         .setStatusCode(forgotten ? OK : NOT_FOUND)
@@ -101,13 +103,13 @@
         .end("{\"forgotten\":" + forgotten + "}");
   }
 
-  private static void explain(HttpServerRequest request, GatewayComponents parts) {
+  private static void explain(HttpServerRequest request, GatewayComponents components) {
     Generation generation =
         new Generation(
             "", number(request, "read"), number(request, "made"), List.of(), OptionalInt.empty());
     answer(
         request,
-        RouteExplanation.of(parts, text(request, "host"), text(request, "path"), generation));
+        RouteExplanation.of(components, text(request, "host"), text(request, "path"), generation));
   }
 
   private static void answer(HttpServerRequest request, Optional<?> body) {
--- a/org.oatlug/src/org/oatlug/internal/gateway/InstanceStatus.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/InstanceStatus.java
@@ -66,31 +66,31 @@
       int expectedLoad) {}
 
   /** Returns the status of the instance with these components. */
-  static InstanceStatus of(GatewayComponents parts, boolean ready) {
-    GatewayTables tables = parts.tables();
+  static InstanceStatus of(GatewayComponents components, boolean ready) {
+    GatewayTables tables = components.tables();
     List<Upstream> upstreams =
-        tables.upstreamNames().stream().map(name -> upstream(parts, name)).toList();
+        tables.upstreamNames().stream().map(name -> upstream(components, name)).toList();
     return new InstanceStatus(
-        parts.settings().name(),
+        components.settings().name(),
         ready,
         tables.storeStatus(),
         List.copyOf(tables.emptiedZones()),
-        parts.versions().status(),
-        parts.crashLedger().listed(),
+        components.versions().status(),
+        components.crashLedger().listed(),
         upstreams);
   }
 
-  private static Upstream upstream(GatewayComponents parts, String name) {
-    UpstreamRecord record = parts.tables().upstream(name).orElseThrow();
-    UpstreamRow row = parts.tables().row(name);
-    Instant now = parts.clock().instant();
+  private static Upstream upstream(GatewayComponents components, String name) {
+    UpstreamRecord record = components.tables().upstream(name).orElseThrow();
+    UpstreamRow row = components.tables().row(name);
+    Instant now = components.clock().instant();
     return new Upstream(
         name,
         record.service(),
         record.zone(),
-        parts.tables().isLeaving(name),
+        components.tables().isLeaving(name),
         row.isCold(now),
-        parts.limits().find(row.process()),
+        components.limits().find(row.process()),
         row.restLeft(now).toMillis(),
         row.ejected(now),
         row.expectedLoad());
--- a/org.oatlug/src/org/oatlug/internal/gateway/RetryAfterJitter.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RetryAfterJitter.java
@@ -38,7 +38,7 @@
   }
 
   /**
-   * Returns a spread that uses the random generator.
+   * Returns an instance that uses the random generator.
    *
    * @param instances supplies the number of instances that refuse callers at the same time
    */
--- a/org.oatlug/src/org/oatlug/internal/gateway/RolloutDirector.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RolloutDirector.java
@@ -100,7 +100,7 @@
 
   @Override
   public Optional<VersionPreference> preferenceFor(
-      String service, RequestHead head, PriorAttempts tried) {
+      String service, RequestHead head, PriorAttempts priorAttempts) {
     Optional<ServiceRollout> rollout = tables.rollout(service);
     if (rollout.isEmpty()) {
       return Optional.empty();
@@ -114,7 +114,7 @@
     if (state.equals(Optional.of(State.ROLLED_BACK)) || trial.isRefuted()) {
       return Optional.of(new VersionPreference(target, false, Firmness.REQUIRED, Optional.empty()));
     }
-    return Optional.of(preferenceWhileRunning(service, rollout.get(), trial, head, tried));
+    return Optional.of(preferenceWhileRunning(service, rollout.get(), trial, head, priorAttempts));
   }
 
   private VersionPreference preferenceWhileRunning(
@@ -122,12 +122,13 @@
       ServiceRollout rollout,
       RolloutTrial trial,
       RequestHead head,
-      PriorAttempts tried) {
+      PriorAttempts priorAttempts) {
     VersionDecisionInputs current = basisOf(service, rollout, trial, head);
     // An earlier attempt of this request records its session, which does not make it a known one.
-    VersionDecisionInputs basis = tried.basis().map(current::withKnowledgeOf).orElse(current);
+    VersionDecisionInputs basis =
+        priorAttempts.basis().map(current::withKnowledgeOf).orElse(current);
     String target = rollout.targetVersion();
-    boolean failedOnTarget = tried.failedVersion().equals(Optional.of(target));
+    boolean failedOnTarget = priorAttempts.failedVersion().equals(Optional.of(target));
     return new VersionChoice(
             target,
             basis,
--- a/org.oatlug/src/org/oatlug/internal/gateway/RouteExplanation.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RouteExplanation.java
@@ -84,18 +84,18 @@
   /**
    * Explains a request that has just arrived without a session; empty if no route matches.
    *
-   * @param parts the components whose decisions are evaluated
+   * @param components the components whose decisions are evaluated
    * @param host the requested host
    * @param path the requested path
    * @param generation the generation parameters of the request
    */
   public static Optional<RouteExplanation> of(
-      GatewayComponents parts, String host, String path, Generation generation) {
-    return parts
+      GatewayComponents components, String host, String path, Generation generation) {
+    return components
         .tables()
         .routes()
         .find(host, path)
-        .map(route -> explain(parts, route, headOf(host, path, generation)));
+        .map(route -> explain(components, route, headOf(host, path, generation)));
   }
 
   private static RequestHead headOf(String host, String path, Generation generation) {
@@ -110,55 +110,56 @@
         Optional.of(generation));
   }
 
-  private static RouteExplanation explain(GatewayComponents parts, Route route, RequestHead head) {
+  private static RouteExplanation explain(
+      GatewayComponents components, Route route, RequestHead head) {
     List<Target> targets =
-        route.targets().stream().map(target -> explain(parts, route, target, head)).toList();
+        route.targets().stream().map(target -> explain(components, route, target, head)).toList();
     return new RouteExplanation(route.name(), route.kind(), targets);
   }
 
   private static Target explain(
-      GatewayComponents parts, Route route, Route.WeightedTarget target, RequestHead head) {
+      GatewayComponents components, Route route, Route.WeightedTarget target, RequestHead head) {
     String service = target.service();
     Optional<VersionRule.VersionPreference> preference =
-        parts.versions().preferenceFor(service, head, VersionRule.PriorAttempts.NOTHING);
+        components.versions().preferenceFor(service, head, VersionRule.PriorAttempts.NOTHING);
     Optional<String> firstModel =
         route.isCascade()
-            ? Optional.of(route.models().get(parts.stages().first(route)))
+            ? Optional.of(route.models().get(components.stages().first(route)))
             : Optional.empty();
-    UpstreamSelection.Criteria wanted =
+    UpstreamSelection.Criteria criteria =
         new UpstreamSelection.Criteria(
             service, preference, firstModel, head.generation(), EMPTY_BODY_BYTES, Set.of(), false);
     return new Target(
         service,
         target.weight(),
         preference,
-        stages(parts, route, wanted),
-        candidates(parts, wanted));
+        stages(components, route, criteria),
+        candidates(components, criteria));
   }
 
   private static List<Stage> stages(
-      GatewayComponents parts, Route route, UpstreamSelection.Criteria wanted) {
+      GatewayComponents components, Route route, UpstreamSelection.Criteria criteria) {
     List<Stage> stages = new ArrayList<>();
     for (int stage = 0; stage < route.models().size(); stage++) {
-      int confidence = minimumConfidence(parts, route, wanted, stage);
+      int confidence = minimumConfidence(components, route, criteria, stage);
       stages.add(new Stage(route.models().get(stage), confidence));
     }
     return stages;
   }
 
   private static int minimumConfidence(
-      GatewayComponents parts, Route route, UpstreamSelection.Criteria wanted, int stage) {
+      GatewayComponents components, Route route, UpstreamSelection.Criteria criteria, int stage) {
     for (int confidence = 0; confidence < MAXIMUM_CONFIDENCE; confidence++) {
       StageRule.LowConfidenceAnswer answer =
           new StageRule.LowConfidenceAnswer(
               route,
-              wanted.service(),
-              wanted.generation().orElse(Generation.UNKNOWN),
+              criteria.service(),
+              criteria.generation().orElse(Generation.UNKNOWN),
               stage,
               confidence,
               Duration.ZERO,
-              model -> forecast(parts, wanted, model));
-      if (parts.stages().replacementStage(answer).isEmpty()) {
+              model -> forecast(components, criteria, model));
+      if (components.stages().replacementStage(answer).isEmpty()) {
         return confidence;
       }
     }
@@ -166,31 +167,32 @@
   }
 
   private static HeadForecast forecast(
-      GatewayComponents parts, UpstreamSelection.Criteria wanted, String model) {
-    return parts
+      GatewayComponents components, UpstreamSelection.Criteria criteria, String model) {
+    return components
         .selection()
-        .choose(wanted.of(model), parts.clock().instant())
+        .choose(criteria.of(model), components.clock().instant())
         .map(UpstreamSelection.Chosen::forecast)
         .orElse(HeadForecast.NEVER);
   }
 
   private static List<Candidate> candidates(
-      GatewayComponents parts, UpstreamSelection.Criteria wanted) {
-    List<UpstreamSelection.Chosen> costs = parts.selection().costs(wanted, parts.clock().instant());
+      GatewayComponents components, UpstreamSelection.Criteria criteria) {
+    List<UpstreamSelection.Chosen> costs =
+        components.selection().costs(criteria, components.clock().instant());
     List<Candidate> candidates = new ArrayList<>();
-    for (String name : parts.tables().upstreamsOf(wanted.service())) {
-      UpstreamRecord upstream = parts.tables().upstream(name).orElseThrow();
+    for (String name : components.tables().upstreamsOf(criteria.service())) {
+      UpstreamRecord upstream = components.tables().upstream(name).orElseThrow();
       Optional<Long> cost =
           costs.stream()
               .filter(chosen -> chosen.name().equals(name))
               .map(chosen -> Math.round(chosen.costMillis()))
               .findFirst();
-      int load = parts.tables().row(name).expectedLoad();
+      int load = components.tables().row(name).expectedLoad();
       Optional<String> exclusionReason =
-          parts
+          components
               .selection()
               .eligibility()
-              .exclusionOf(name, parts.clock().instant())
+              .exclusionOf(name, components.clock().instant())
               .map(Enum::name);
       candidates.add(
           new Candidate(name, upstream.zone(), upstream.version(), load, cost, exclusionReason));
--- a/org.oatlug/src/org/oatlug/internal/gateway/SessionVersionCache.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/SessionVersionCache.java
@@ -42,7 +42,7 @@
   }
 
   /**
-   * Returns an empty table for sessions with at most this pause between their requests.
+   * Returns an empty cache for sessions with at most this pause between their requests.
    *
    * @param movesImmediately whether a roll-out moves the session, if unknown, to the new version
    *     from its order on
--- a/org.oatlug/src/org/oatlug/internal/gateway/UpstreamRateLimits.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/UpstreamRateLimits.java
@@ -43,7 +43,7 @@
     this.advertisedLimit = SharedRateLimit.create(senders.ofLimited());
   }
 
-  /** Returns a gate that has admitted no requests yet. */
+  /** Returns rate limits that have admitted no requests yet. */
   static UpstreamRateLimits create(
       GatewayTables tables,
       GatewaySettings.Bounds bounds,
--- a/org.oatlug/src/org/oatlug/internal/gateway/UpstreamRegistry.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/UpstreamRegistry.java
@@ -45,7 +45,7 @@
     this.clock = clock;
   }
 
-  /** Returns an empty directory. */
+  /** Returns an empty registry. */
   static UpstreamRegistry create(InstantSource clock) {
     return new UpstreamRegistry(clock);
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/VersionRule.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/VersionRule.java
@@ -69,9 +69,10 @@
   /**
    * Returns the version preference for a request, empty if any version may answer.
    *
-   * @param tried the earlier attempts of the request
+   * @param priorAttempts the earlier attempts of the request
    */
-  Optional<VersionPreference> preferenceFor(String service, RequestHead head, PriorAttempts tried);
+  Optional<VersionPreference> preferenceFor(
+      String service, RequestHead head, PriorAttempts priorAttempts);
 
   /** Records that a request was sent to a version. */
   void sent(String service, String version, RequestHead head);
