--- a/org.oatlug.entry/src/org/oatlug/entry/Drainable.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/Drainable.java
@@ -5,9 +5,9 @@
 
 import io.vertx.core.Future;
 
-/** What the daemon runs and stops as planned. */
+/** A component that the daemon runs and shuts down gracefully. */
 interface Drainable {
 
-  /** Stops as planned; the result comes when nothing is open any more. */
+  /** Shuts down gracefully; the future completes when no request is open. */
   Future<Void> drain();
 }
--- a/org.oatlug/src/org/oatlug/api/NotRun.java
+++ b/org.oatlug/src/org/oatlug/api/NotRun.java
@@ -6,10 +6,10 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * Whether a refused request is known not to have run.
+ * States whether a refused request is known not to have run.
  *
- * <p>{@link #YES} is only said when no byte was handed to any upstream, or when an upstream whose
- * refusals are trusted by its settings refused. Immutable.
+ * <p>{@link #YES} is used only if no byte was sent to any upstream, or if an upstream refused whose
+ * configuration marks its refusals as trusted. Immutable.
  */
 public enum NotRun {
   /** The request did not run and will not run. */
@@ -22,7 +22,7 @@
   @JsonProperty("unknown")
   UNKNOWN;
 
-  /** Returns the text used in answers: {@code yes}, {@code no} or {@code unknown}. */
+  /** Returns the text used in responses: {@code yes}, {@code no} or {@code unknown}. */
   public String text() {
     return name().toLowerCase(java.util.Locale.ROOT);
   }
--- a/org.oatlug/src/org/oatlug/api/ObjectKey.java
+++ b/org.oatlug/src/org/oatlug/api/ObjectKey.java
@@ -4,7 +4,7 @@
 package org.oatlug.api;
 
 /**
- * The kind and name of an object at the platform. Immutable, ordered by kind, then name.
+ * The kind and name of an object of the platform. Immutable, ordered by kind, then name.
  *
  * @param kind the kind, such as {@code version}
  * @param name the name, unique within the kind
--- a/org.oatlug/src/org/oatlug/api/Refusal.java
+++ b/org.oatlug/src/org/oatlug/api/Refusal.java
@@ -7,17 +7,17 @@
 import java.util.Optional;
 
 /**
- * A typed refusal: why, whether the request ran, and when to come back. Immutable.
+ * A typed refusal with its reason, whether the request ran and when to retry. Immutable.
  *
- * @param reason why the request was refused
+ * @param reason the reason for the refusal
  * @param notRun whether the request is known not to have run
- * @param detail one sentence for a person
- * @param retryAfter when a retry may succeed, empty if a retry is of no use
+ * @param detail a human-readable sentence
+ * @param retryAfter the time after which a retry may succeed, empty if a retry is pointless
  */
 public record Refusal(
     RefusalReason reason, NotRun notRun, String detail, Optional<Duration> retryAfter) {
 
-  /** Returns a refusal of a request that did not run, without a time to come back. */
+  /** Returns a refusal of a request that did not run, without a retry time. */
   public static Refusal notRun(RefusalReason reason, String detail) {
     return new Refusal(reason, NotRun.YES, detail, Optional.empty());
   }
--- a/org.oatlug/src/org/oatlug/api/RefusalReason.java
+++ b/org.oatlug/src/org/oatlug/api/RefusalReason.java
@@ -6,9 +6,9 @@
 import java.util.Locale;
 
 /**
- * Why a request was refused; each reason has a counter of its own. Immutable.
+ * The reason why a request was refused; each reason has its own counter. Immutable.
  *
- * <p>The number is the HTTP status that the caller receives.
+ * <p>The number is the HTTP status code of the response.
  */
 public enum RefusalReason {
   KEY_MISSING(401),
@@ -50,12 +50,12 @@
     this.status = status;
   }
 
-  /** Returns the HTTP status of this reason. */
+  /** Returns the HTTP status code of this reason. */
   public int status() {
     return status;
   }
 
-  /** Returns the name used in answers and metrics, such as {@code rate-limited}. */
+  /** Returns the name used in responses and metrics, such as {@code rate-limited}. */
   public String text() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
--- a/org.oatlug/src/org/oatlug/api/VersionState.java
+++ b/org.oatlug/src/org/oatlug/api/VersionState.java
@@ -5,18 +5,18 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** The life of a version; a withdrawn version never comes back under its name. Immutable. */
+/** The state of a version; a withdrawn version is never restored under its name. Immutable. */
 public enum VersionState {
-  /** Receives only the share that a roll-out gives it. */
+  /** Receives only the share of new sessions that a roll-out assigns to it. */
   @JsonProperty("candidate")
   CANDIDATE,
   /** Receives new sessions. */
   @JsonProperty("current")
   CURRENT,
-  /** Serves only the sessions that it has. */
+  /** Serves only its existing sessions. */
   @JsonProperty("retiring")
   RETIRING,
-  /** Receives nothing. */
+  /** Receives no requests. */
   @JsonProperty("withdrawn")
   WITHDRAWN
 }
--- a/org.oatlug/src/org/oatlug/api/package-info.java
+++ b/org.oatlug/src/org/oatlug/api/package-info.java
@@ -1,2 +1,2 @@
-/** Value classes that callers, operators and the other packages share. */
+/** Value types shared by callers, operators and the other packages. */
 package org.oatlug.api;
--- a/org.oatlug/src/org/oatlug/config/Cascade.java
+++ b/org.oatlug/src/org/oatlug/config/Cascade.java
@@ -6,10 +6,10 @@
 import java.util.List;
 
 /**
- * An order of models from the cheapest to the strongest. Immutable.
+ * A list of models, ordered from the cheapest to the most capable. Immutable.
  *
- * @param stages names of models, cheapest first
- * @param safeStage the stage that is used without knowledge, from 0
- * @param qualityTarget the share of answers that have to meet the rating, from 0 to 1
+ * @param stages the names of the models, cheapest first
+ * @param safeStage the index of the stage that is used in the absence of ratings, from 0
+ * @param qualityTarget the required share of responses with a sufficient rating, between 0 and 1
  */
 public record Cascade(List<String> stages, int safeStage, double qualityTarget) {}
--- a/org.oatlug/src/org/oatlug/config/ContentRules.java
+++ b/org.oatlug/src/org/oatlug/config/ContentRules.java
@@ -9,7 +9,7 @@
 import org.oatlug.errors.PolicyInvalidException;
 import org.oatlug.internal.config.PolicyProgram;
 
-/** The rules that the types alone do not express. Stateless, thread-safe. */
+/** Validates constraints that the types alone do not express. Stateless, thread-safe. */
 final class ContentRules {
   private static final int MAXIMUM_PRIORITY = 9;
   private static final int MAXIMUM_PERCENT = 100;
@@ -32,13 +32,13 @@
     } else if (content instanceof Upstream upstream) {
       checkUpstream(key, upstream);
     } else if (content instanceof Service service) {
-      require(filled(service.routes()), key, "routes", "must not be empty");
+      require(isNonEmpty(service.routes()), key, "routes", "must not be empty");
     }
   }
 
   private static void checkWorkspace(ObjectKey key, Workspace workspace)
       throws ConfigurationInvalidException {
-    require(filled(workspace.keyHashes()), key, "keyHashes", "must not be empty");
+    require(isNonEmpty(workspace.keyHashes()), key, "keyHashes", "must not be empty");
     require(workspace.policy() != null, key, "policy", "is missing");
     require(workspace.requestsPerSecond() > 0, key, "requestsPerSecond", "must be above 0");
     boolean inRange = workspace.priority() >= 0 && workspace.priority() <= MAXIMUM_PRIORITY;
@@ -47,11 +47,11 @@
 
   private static void checkCascade(ObjectKey key, Cascade cascade)
       throws ConfigurationInvalidException {
-    require(filled(cascade.stages()), key, "stages", "must not be empty");
+    require(isNonEmpty(cascade.stages()), key, "stages", "must not be empty");
     boolean inRange = cascade.safeStage() >= 0 && cascade.safeStage() < cascade.stages().size();
     require(inRange, key, "safeStage", "must name a stage");
-    boolean share = cascade.qualityTarget() > 0 && cascade.qualityTarget() < 1;
-    require(share, key, "qualityTarget", "must lie between 0 and 1");
+    boolean targetInRange = cascade.qualityTarget() > 0 && cascade.qualityTarget() < 1;
+    require(targetInRange, key, "qualityTarget", "must lie between 0 and 1");
   }
 
   private static void checkPolicy(ObjectKey key, Policy policy)
@@ -80,19 +80,19 @@
     require(upstream.kind() != null, key, "kind", "is missing");
     require(upstream.host() != null, key, "host", "is missing");
     require(upstream.zone() != null, key, "zone", "is missing");
-    require(filled(upstream.serves()), key, "serves", "must not be empty");
+    require(isNonEmpty(upstream.serves()), key, "serves", "must not be empty");
     require(upstream.slots() > 0, key, "slots", "must be above 0");
-    boolean port = upstream.port() > 0 && upstream.port() <= MAXIMUM_PORT;
-    require(port, key, "port", "must be from 1 to 65535");
+    boolean portInRange = upstream.port() > 0 && upstream.port() <= MAXIMUM_PORT;
+    require(portInRange, key, "port", "must be from 1 to 65535");
   }
 
-  private static boolean filled(List<?> list) {
+  private static boolean isNonEmpty(List<?> list) {
     return list != null && !list.isEmpty();
   }
 
-  private static void require(boolean holds, ObjectKey key, String field, String problem)
+  private static void require(boolean valid, ObjectKey key, String field, String problem)
       throws ConfigurationInvalidException {
-    if (!holds) {
+    if (!valid) {
       throw new ConfigurationInvalidException(key + "." + field, problem);
     }
   }
--- a/org.oatlug/src/org/oatlug/config/DeploymentFile.java
+++ b/org.oatlug/src/org/oatlug/config/DeploymentFile.java
@@ -34,7 +34,7 @@
   /**
    * Reads a file.
    *
-   * @throws ConfigurationInvalidException if it is no such file
+   * @throws ConfigurationInvalidException if it cannot be read or its structure is invalid
    */
   public static DeploymentFile read(Path file) throws ConfigurationInvalidException {
     Map<ObjectKey, JsonNode> objects = new LinkedHashMap<>();
@@ -53,19 +53,19 @@
     return new DeploymentFile(objects);
   }
 
-  /** Returns the objects in the order of the file. */
+  /** Returns the objects in file order. */
   public Map<ObjectKey, JsonNode> objects() {
     return objects;
   }
 
-  /** Returns what is wrong with the types, the policies and the references, one line each. */
+  /** Returns the invalid contents, policies and references, one line for each problem. */
   public List<String> problems() {
     List<String> problems = new ArrayList<>();
     Map<ObjectKey, Object> contents = new LinkedHashMap<>();
     for (Map.Entry<ObjectKey, JsonNode> entry : objects.entrySet()) {
       try {
         Optional<Object> content = Kinds.read(entry.getKey(), entry.getValue());
-        content.ifPresent(one -> contents.put(entry.getKey(), one));
+        content.ifPresent(present -> contents.put(entry.getKey(), present));
       } catch (ConfigurationInvalidException e) {
         problems.add(e.getMessage());
       }
--- a/org.oatlug/src/org/oatlug/config/GatewaySettingsReader.java
+++ b/org.oatlug/src/org/oatlug/config/GatewaySettingsReader.java
@@ -11,12 +11,12 @@
 import org.oatlug.gateway.GatewaySettings.Endpoint;
 
 /**
- * Makes the settings of an instance that serves routed services out of their JSON tree.
+ * Converts a JSON tree to the settings of an instance that serves routed services.
  *
- * <p>Field by field and not by reflection: a start takes 557 ms of processor time in place of 640
- * (an instance alone until 3 s after its start, means of 12 and 8 starts). Fields that are unknown
- * are passed over; numbers may be written as text, and an empty text counts as missing, so that a
- * template needs no rules of its own. Stateless, thread-safe.
+ * <p>Fields are read one by one because data binding by reflection raises the processor time of a
+ * start from 557 ms to 640 ms. Unknown fields are ignored. Numbers may be given as strings, and an
+ * empty string counts as missing, so that a template can substitute any value unconditionally.
+ * Stateless, thread-safe.
  */
 final class GatewaySettingsReader {
   private GatewaySettingsReader() {}
@@ -24,7 +24,7 @@
   /**
    * Reads settings.
    *
-   * @throws IllegalArgumentException if a field is missing or wrong, with its path and value
+   * @throws IllegalArgumentException if a field is missing or invalid; the message has its path and value
    */
   static GatewaySettings read(JsonNode tree) {
     return new GatewaySettings(
@@ -75,12 +75,12 @@
 
   private static int port(JsonNode tree, String field) {
     Optional<Double> number = number(tree, field);
-    boolean whole = number.isPresent() && number.get() == Math.rint(number.get());
-    require(whole, field, tree.path(field), "a port");
+    boolean isInteger = number.isPresent() && number.get() == Math.rint(number.get());
+    require(isInteger, field, tree.path(field), "a port");
     return number.get().intValue();
   }
 
-  /** Returns a number, empty if it is missing. */
+  /** Returns a number, empty if the field is missing, null or blank. */
   private static Optional<Double> number(JsonNode tree, String field) {
     JsonNode value = tree.path(field);
     if (value.isMissingNode() || value.isNull() || value.asText().isBlank() && value.isTextual()) {
@@ -90,19 +90,19 @@
     try {
       return Optional.of(value.isNumber() ? value.asDouble() : Double.valueOf(value.asText()));
     } catch (NumberFormatException e) {
-      throw wrong(field, value, "a number");
+      throw invalidField(field, value, "a number");
     }
   }
 
-  private static void require(boolean holds, String field, JsonNode value, String wanted) {
-    if (!holds) {
-      throw wrong(field, value, wanted);
+  private static void require(boolean valid, String field, JsonNode value, String expected) {
+    if (!valid) {
+      throw invalidField(field, value, expected);
     }
   }
 
-  private static IllegalArgumentException wrong(String field, JsonNode value, String wanted) {
+  private static IllegalArgumentException invalidField(String field, JsonNode value, String expected) {
     boolean missing = value.isMissingNode() || value.isNull();
-    String found = missing ? "missing" : value.toString();
-    return new IllegalArgumentException(field + " is " + found + ", not " + wanted);
+    String actual = missing ? "missing" : value.toString();
+    return new IllegalArgumentException(field + " is " + actual + ", not " + expected);
   }
 }
--- a/org.oatlug/src/org/oatlug/config/Kinds.java
+++ b/org.oatlug/src/org/oatlug/config/Kinds.java
@@ -16,10 +16,10 @@
 import org.oatlug.internal.util.Json;
 
 /**
- * The catalogue of configuration kinds and the reading of their content.
+ * Lists the configuration kinds and parses their content.
  *
- * <p>Invariant: content is either read whole and typed or refused with the path of the field at
- * fault. Stateless, thread-safe.
+ * <p>Invariant: content is either fully parsed or rejected with the path of the invalid field.
+ * Stateless, thread-safe.
  */
 public final class Kinds {
   public static final String WORKSPACE = "workspace";
@@ -54,10 +54,10 @@
   private Kinds() {}
 
   /**
-   * Reads the content of an object.
+   * Parses the content of an object.
    *
    * @return the typed content, empty for a tombstone
-   * @throws ConfigurationInvalidException if the kind or a field is unknown, missing or wrong
+   * @throws ConfigurationInvalidException if the kind or a field is unknown, missing or invalid
    */
   public static Optional<Object> read(ObjectKey key, JsonNode value)
       throws ConfigurationInvalidException {
@@ -79,7 +79,7 @@
     }
   }
 
-  /** Returns the content without the mark of the publish that wrote it. */
+  /** Returns the content without the id of the publish operation that wrote it. */
   public static JsonNode withoutPublishId(JsonNode value) {
     if (value instanceof ObjectNode object && object.has(PUBLISH_ID)) {
       return object.deepCopy().without(PUBLISH_ID);
@@ -93,16 +93,16 @@
   }
 
   /**
-   * Returns the content that marks an object which names nothing to use, because another writer
-   * wrote what cannot be read. For all that use objects it is as good as deleted.
+   * Returns a tombstone for an object whose stored content is invalid. Readers treat the object as
+   * deleted.
    *
-   * @param problem what is wrong with it
+   * @param problem the reason why the content is invalid
    */
   public static ObjectNode unusable(String problem) {
     return tombstone().put(UNUSABLE, problem);
   }
 
-  /** Returns what is wrong with an object that names nothing to use, empty for any other. */
+  /** Returns the problem of an object with invalid content, empty for any other object. */
   public static Optional<String> problemOfUnusable(JsonNode value) {
     return Optional.ofNullable(value.get(UNUSABLE)).map(JsonNode::asText);
   }
--- a/org.oatlug/src/org/oatlug/config/Model.java
+++ b/org.oatlug/src/org/oatlug/config/Model.java
@@ -4,8 +4,8 @@
 package org.oatlug.config;
 
 /**
- * A model, of which versions exist. Immutable.
+ * A model that versions belong to. Immutable.
  *
- * @param description for people
+ * @param description a description for operators
  */
 public record Model(String description) {}
--- a/org.oatlug/src/org/oatlug/config/Policy.java
+++ b/org.oatlug/src/org/oatlug/config/Policy.java
@@ -4,7 +4,7 @@
 package org.oatlug.config;
 
 /**
- * A program that says what a workspace may use. Immutable.
+ * A program that decides which model versions a workspace may use. Immutable.
  *
  * @param program a CEL expression of type bool over workspace, model, version, task and priority
  */
--- a/org.oatlug/src/org/oatlug/config/Publisher.java
+++ b/org.oatlug/src/org/oatlug/config/Publisher.java
@@ -20,10 +20,10 @@
 /**
  * Publishes configuration objects.
  *
- * <p>Invariants: a write is conditional on the version that was read, so operators who race each
- * other see a conflict and nothing is overwritten unseen. A withdrawn or deleted version never
- * comes back under its name. A write whose reply was lost is read back and recognised by its
- * publish id before anything is said of it. Immutable, thread-safe as its platform is.
+ * <p>Invariants: a write is conditional on the revision that was read, so concurrent writes by
+ * operators result in a conflict instead of a lost update. A withdrawn or deleted version is never
+ * restored under its name. After a write without a response, the object is read back and compared
+ * by its publish id before a result is returned. Immutable, as thread-safe as its platform.
  */
 public final class Publisher {
   private final Platform platform;
@@ -32,19 +32,19 @@
     this.platform = platform;
   }
 
-  /** Returns a publisher to a platform. */
+  /** Returns a publisher that writes to {@code platform}. */
   public static Publisher to(Platform platform) {
     return new Publisher(platform);
   }
 
   /**
-   * What became of a publish.
+   * The outcome of a publish operation.
    *
-   * @param result whether anything was written
-   * @param revision the revision of the object as it stands
+   * @param result the kind of change
+   * @param revision the current revision of the object
    */
   public record Published(Result result, StoreRevision revision) {
-    /** Whether anything was written. */
+    /** The kind of change that a publish operation made. */
     public enum Result {
       CREATED,
       UPDATED,
@@ -53,42 +53,42 @@
   }
 
   /**
-   * Publishes content over whatever version stands now.
+   * Publishes content on top of the current revision.
    *
-   * <p>Fails with {@link ConfigurationInvalidException} if the content is wrong, with {@link
-   * ConflictException} if another write came between, and with {@link PlatformUnavailableException}
+   * <p>Fails with {@link ConfigurationInvalidException} if the content is invalid, with {@link
+   * ConflictException} if another write intervened, and with {@link PlatformUnavailableException}
    * if it is not known whether the write took effect.
    */
   public Uni<Published> publish(ObjectKey key, JsonNode content) {
     return platform
         .get(key)
         .onItem()
-        .transformToUni(standing -> publishOver(key, standing, content));
+        .transformToUni(current -> publishOver(key, current, content));
   }
 
-  /** Publishes content over the version that the caller read. */
+  /** Publishes content on top of the revision that the caller read. */
   public Uni<Published> publishOver(
-      ObjectKey key, Optional<StoredObject> standing, JsonNode content) {
+      ObjectKey key, Optional<StoredObject> current, JsonNode content) {
     try {
       Kinds.read(key, content);
-      checkStep(key, standing, content);
+      checkTransition(key, current, content);
     } catch (ConfigurationInvalidException e) {
       return Uni.createFrom().failure(e);
     }
-    if (standing.map(old -> sameContent(old.value(), content)).orElse(false)) {
-      StoreRevision revision = standing.get().revision();
+    if (current.map(old -> sameContent(old.value(), content)).orElse(false)) {
+      StoreRevision revision = current.get().revision();
       return Uni.createFrom().item(new Published(Published.Result.UNCHANGED, revision));
     }
-    return write(key, standing, content);
+    return write(key, current, content);
   }
 
-  private Uni<Published> write(ObjectKey key, Optional<StoredObject> standing, JsonNode content) {
+  private Uni<Published> write(ObjectKey key, Optional<StoredObject> current, JsonNode content) {
     String publishId = UUID.randomUUID().toString();
     ObjectNode marked = content.deepCopy();
     marked.put(Kinds.PUBLISH_ID, publishId);
-    StoreRevision expected = standing.map(StoredObject::revision).orElse(StoreRevision.NONE);
+    StoreRevision expected = current.map(StoredObject::revision).orElse(StoreRevision.NONE);
     Published.Result result =
-        standing.isPresent() ? Published.Result.UPDATED : Published.Result.CREATED;
+        current.isPresent() ? Published.Result.UPDATED : Published.Result.CREATED;
     return platform
         .put(key, expected, marked)
         .onFailure(PlatformUnavailableException.class)
@@ -96,44 +96,44 @@
         .map(revision -> new Published(result, revision));
   }
 
-  /** Finds out whether a write without a reply took effect. */
+  /** Determines whether a write without a response took effect. */
   private Uni<StoreRevision> readBack(
       ObjectKey key, StoreRevision expected, String publishId, Throwable failure) {
     return platform
         .get(key)
         .onItem()
         .transformToUni(
-            found -> {
-              String foundId =
-                  found.map(object -> object.value().path(Kinds.PUBLISH_ID).asText()).orElse("");
-              if (foundId.equals(publishId)) {
-                return Uni.createFrom().item(found.get().revision());
+            stored -> {
+              String storedId =
+                  stored.map(object -> object.value().path(Kinds.PUBLISH_ID).asText()).orElse("");
+              if (storedId.equals(publishId)) {
+                return Uni.createFrom().item(stored.get().revision());
               }
-              StoreRevision standing = found.map(StoredObject::revision).orElse(StoreRevision.NONE);
-              if (!standing.equals(expected)) {
-                return Uni.createFrom().failure(new ConflictException(key, expected, found));
+              StoreRevision storedRevision = stored.map(StoredObject::revision).orElse(StoreRevision.NONE);
+              if (!storedRevision.equals(expected)) {
+                return Uni.createFrom().failure(new ConflictException(key, expected, stored));
               }
               return Uni.createFrom().failure(failure);
             });
   }
 
-  private static boolean sameContent(JsonNode standing, JsonNode content) {
-    return Kinds.withoutPublishId(standing).equals(Kinds.withoutPublishId(content));
+  private static boolean sameContent(JsonNode current, JsonNode content) {
+    return Kinds.withoutPublishId(current).equals(Kinds.withoutPublishId(content));
   }
 
-  private static void checkStep(ObjectKey key, Optional<StoredObject> standing, JsonNode content)
+  private static void checkTransition(ObjectKey key, Optional<StoredObject> current, JsonNode content)
       throws ConfigurationInvalidException {
-    if (!key.kind().equals(Kinds.VERSION) || standing.isEmpty()) {
+    if (!key.kind().equals(Kinds.VERSION) || current.isEmpty()) {
       return;
     }
-    JsonNode old = standing.get().value();
-    if (Kinds.isTombstone(old) && !Kinds.isTombstone(content)) {
+    JsonNode oldContent = current.get().value();
+    if (Kinds.isTombstone(oldContent) && !Kinds.isTombstone(content)) {
       throw new ConfigurationInvalidException(key.toString(), "a deleted version never comes back");
     }
     String withdrawn = VersionState.WITHDRAWN.name().toLowerCase(java.util.Locale.ROOT);
-    boolean was = old.path("state").asText().equals(withdrawn);
-    boolean stays = content.path("state").asText().equals(withdrawn) || Kinds.isTombstone(content);
-    if (was && !stays) {
+    boolean wasWithdrawn = oldContent.path("state").asText().equals(withdrawn);
+    boolean remainsUnusable = content.path("state").asText().equals(withdrawn) || Kinds.isTombstone(content);
+    if (wasWithdrawn && !remainsUnusable) {
       throw new ConfigurationInvalidException(
           key + ".state", "a withdrawn version never comes back");
     }
--- a/org.oatlug/src/org/oatlug/config/Rollout.java
+++ b/org.oatlug/src/org/oatlug/config/Rollout.java
@@ -6,17 +6,17 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * The introduction of a candidate version beside the current one. Immutable.
+ * The gradual introduction of a candidate version alongside the current one. Immutable.
  *
  * @param model the model
  * @param candidate the version under roll-out
  * @param weightPercent the share of new sessions for the candidate, from 0 to 100
- * @param state whether it runs
- * @param onHalt what happens to the candidate's sessions when it halts
+ * @param state the state of the roll-out
+ * @param onHalt the treatment of the candidate's sessions when the roll-out halts
  */
 public record Rollout(
     String model, String candidate, int weightPercent, State state, OnHalt onHalt) {
-  /** Whether a roll-out gives its candidate new sessions. */
+  /** The state of a roll-out; only a running one assigns new sessions to its candidate. */
   public enum State {
     @JsonProperty("running")
     RUNNING,
@@ -26,7 +26,7 @@
     FINISHED
   }
 
-  /** What happens to the candidate's sessions when a roll-out halts. */
+  /** The treatment of the candidate's sessions when a roll-out halts. */
   public enum OnHalt {
     @JsonProperty("keep")
     KEEP,
--- a/org.oatlug/src/org/oatlug/config/Service.java
+++ b/org.oatlug/src/org/oatlug/config/Service.java
@@ -8,15 +8,15 @@
 /**
  * The routes of an application of plain services. Immutable.
  *
- * @param routes the routes; the first whose method and prefix match counts
+ * @param routes the routes; the first one with a matching method and prefix applies
  */
 public record Service(List<Route> routes) {
   /**
-   * One route.
+   * A route of a service.
    *
    * @param method the HTTP method
-   * @param prefix the start of the path
-   * @param repeatable whether a request may run more than once
+   * @param prefix the prefix of the path
+   * @param repeatable true if a request may run more than once
    */
   public record Route(String method, String prefix, boolean repeatable) {}
 }
--- a/org.oatlug/src/org/oatlug/config/Settings.java
+++ b/org.oatlug/src/org/oatlug/config/Settings.java
@@ -9,19 +9,19 @@
 import org.oatlug.platform.Platform;
 
 /**
- * The settings of one entry instance, as its file gives them. Immutable.
+ * The settings of one entry instance, as read from its file. Immutable.
  *
  * @param name the name of the instance
  * @param zone its availability zone
  * @param rack its rack, a failure domain
- * @param callers where callers connect
- * @param operators where operators connect
- * @param peers where other instances connect, and the shared key
- * @param platform the platform's object API
- * @param rating the rating service
+ * @param callers the listener for callers
+ * @param operators the listen address for operators
+ * @param peers the settings of the peer protocol
+ * @param platform the address of the platform's object API
+ * @param rating the address of the rating service, empty for none
  * @param sessions the keys that sign sessions
- * @param ledger the ledger
- * @param limits bounds of requests
+ * @param ledger the settings of the ledger
+ * @param limits the limits on requests
  */
 public record Settings(
     String name,
@@ -37,15 +37,15 @@
     Limits limits) {
 
   /**
-   * An address.
+   * A network address.
    *
-   * @param host the IP number
+   * @param host the IP address
    * @param port the port
    */
   public record Address(String host, int port) {}
 
   /**
-   * The files of TLS, in PEM.
+   * The TLS files, in PEM format.
    *
    * @param certificate the certificate
    * @param key its private key
@@ -54,23 +54,23 @@
   public record Tls(String certificate, String key, String trust) {}
 
   /**
-   * Where callers connect.
+   * The listener for callers.
    *
-   * @param host the IP number
+   * @param host the IP address
    * @param port the port
-   * @param tls the files of TLS, empty for none
+   * @param tls the TLS files, empty for plain text
    */
   public record Listener(String host, int port, Optional<Tls> tls) {}
 
   /**
-   * The peers' protocol.
+   * The settings of the peer protocol.
    *
-   * @param host the IP number
+   * @param host the IP address
    * @param port the port
    * @param key the shared key
-   * @param seeds instances to begin with when the platform is away
-   * @param advertised where others connect, if not where this instance listens
-   * @param tls the files of TLS, empty for none
+   * @param seeds initial instances, used when the platform is unavailable
+   * @param advertised the address for other instances, if it differs from the listen address
+   * @param tls the TLS files, empty for plain text
    */
   public record Peers(
       String host,
@@ -79,7 +79,7 @@
       List<Platform.ListedInstance> seeds,
       Optional<Address> advertised,
       Optional<Tls> tls) {
-    /** Returns where other instances connect. */
+    /** Returns the address that other instances connect to. */
     public Address reachedAt() {
       return advertised.orElse(new Address(host, port));
     }
@@ -93,7 +93,7 @@
   /**
    * The keys that sign sessions.
    *
-   * @param signing the id of the key that signs
+   * @param signing the id of the signing key
    * @param keys the keys by id
    */
   public record Sessions(String signing, Map<String, String> keys) {
@@ -104,23 +104,24 @@
   }
 
   /**
-   * The ledger.
+   * The settings of the ledger.
    *
-   * @param shards the number of shards, the same on all instances
-   * @param writesPerSecond the platform writes that all shards may use together
-   * @param retentionHours how long claims are kept
+   * @param shards the number of shards, which must be equal on all instances
+   * @param writesPerSecond the maximum rate of platform writes of all shards together
+   * @param retentionHours the retention time of claims, in hours
    */
   public record Ledger(int shards, int writesPerSecond, int retentionHours) {}
 
   /**
-   * Bounds of requests.
+   * The limits on requests.
    *
-   * @param bodyBytes the longest body
-   * @param openRequests the most requests at once
-   * @param firstByteMillis how long an upstream may take to its first byte
-   * @param betweenBytesMillis how long an upstream may pause in an answer
-   * @param freshnessMillis how old the configuration may be for candidates to get new sessions
-   * @param drainMillis how long a planned stop goes on accepting
+   * @param bodyBytes the maximum length of a body, in bytes
+   * @param openRequests the maximum number of concurrent requests
+   * @param firstByteMillis the timeout for the first byte of a response
+   * @param betweenBytesMillis the idle timeout within a response
+   * @param freshnessMillis the maximum age of the configuration for which candidates
+   *     receive new sessions
+   * @param drainMillis the time for which requests are still accepted after a shutdown begins
    */
   public record Limits(
       int bodyBytes,
--- a/org.oatlug/src/org/oatlug/config/SettingsFile.java
+++ b/org.oatlug/src/org/oatlug/config/SettingsFile.java
@@ -20,9 +20,9 @@
 import org.oatlug.internal.util.Json;
 
 /**
- * Reads and checks a settings file against its schema.
+ * Reads settings files and validates them against their schemas.
  *
- * <p>Invariant: settings are taken whole or not at all. Stateless, thread-safe.
+ * <p>Invariant: a file with any invalid field is rejected as a whole. Stateless, thread-safe.
  */
 public final class SettingsFile {
   private static final String SCHEMA = "settings.schema.json";
@@ -31,38 +31,38 @@
   private SettingsFile() {}
 
   /**
-   * Reads a file.
+   * Reads and validates the settings of an entry instance.
    *
-   * @throws SettingsInvalidException if it cannot be read or breaks the schema, with the path of
-   *     each field at fault
+   * @throws SettingsInvalidException if it cannot be read or violates the schema, with the path of
+   *     each invalid field
    */
   public static Settings read(Path file) throws SettingsInvalidException {
-    return checked(file, SCHEMA, Settings.class);
+    return readValid(file, SCHEMA, Settings.class);
   }
 
   /**
-   * Reads the file of an instance that serves routed services.
+   * Reads the settings of an instance that serves routed services.
    *
-   * <p>Missing and wrong fields are refused as they are read; the schema, whose reading takes
-   * longer than the rest of a start together, is left to {@link #checkGateway}.
+   * <p>Missing and invalid fields are rejected as they are read. Only {@link #checkGateway} uses the
+   * schema, because loading it takes longer than the rest of a start.
    *
-   * @throws SettingsInvalidException if it cannot be read or a field is at fault
+   * @throws SettingsInvalidException if it cannot be read or a field is invalid
    */
   public static GatewaySettings readGateway(Path file) throws SettingsInvalidException {
-    return gateway(readTree(file));
+    return toGatewaySettings(readTree(file));
   }
 
   /**
-   * Reads the file of an instance that serves routed services and checks it against its schema.
+   * Reads the settings of an instance that serves routed services and validates them.
    *
-   * @throws SettingsInvalidException if it cannot be read or breaks the schema, with the path of
-   *     each field at fault
+   * @throws SettingsInvalidException if it cannot be read or violates the schema, with the path of
+   *     each invalid field
    */
   public static GatewaySettings checkGateway(Path file) throws SettingsInvalidException {
-    return gateway(checkedTree(file, GATEWAY_SCHEMA));
+    return toGatewaySettings(readValidTree(file, GATEWAY_SCHEMA));
   }
 
-  private static GatewaySettings gateway(JsonNode tree) throws SettingsInvalidException {
+  private static GatewaySettings toGatewaySettings(JsonNode tree) throws SettingsInvalidException {
     try {
       return GatewaySettingsReader.read(tree);
     } catch (IllegalArgumentException e) {
@@ -70,22 +70,22 @@
     }
   }
 
-  private static <T> T checked(Path file, String schema, Class<T> type)
+  private static <T> T readValid(Path file, String schema, Class<T> type)
       throws SettingsInvalidException {
-    return typed(checkedTree(file, schema), type);
+    return convert(readValidTree(file, schema), type);
   }
 
-  private static JsonNode checkedTree(Path file, String schema) throws SettingsInvalidException {
+  private static JsonNode readValidTree(Path file, String schema) throws SettingsInvalidException {
     JsonNode tree = readTree(file);
     List<String> problems =
-        schema(schema).validate(tree).stream().map(ValidationMessage::getMessage).sorted().toList();
+        loadSchema(schema).validate(tree).stream().map(ValidationMessage::getMessage).sorted().toList();
     if (!problems.isEmpty()) {
       throw new SettingsInvalidException(problems);
     }
     return tree;
   }
 
-  private static <T> T typed(JsonNode tree, Class<T> type) throws SettingsInvalidException {
+  private static <T> T convert(JsonNode tree, Class<T> type) throws SettingsInvalidException {
     try {
       return Json.STRICT.treeToValue(tree, type);
     } catch (JsonMappingException e) {
@@ -107,7 +107,7 @@
     }
   }
 
-  private static JsonSchema schema(String name) {
+  private static JsonSchema loadSchema(String name) {
     InputStream stream = SettingsFile.class.getResourceAsStream(name);
     return JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(stream);
   }
--- a/org.oatlug/src/org/oatlug/config/Upstream.java
+++ b/org.oatlug/src/org/oatlug/config/Upstream.java
@@ -9,14 +9,14 @@
 /**
  * A model engine or a plain service that answers requests. Immutable.
  *
- * @param kind engine or service
- * @param host the IP number
+ * @param kind the kind of the upstream
+ * @param host the IP address
  * @param port the port
  * @param zone the availability zone
- * @param serves the versions of an engine or the application of a service
- * @param slots how many requests run at once
- * @param trustedRefusals whether its refusal means that the request did not run
- * @param leaving whether it is about to go
+ * @param serves the versions that an engine serves or the application of a service
+ * @param slots the maximum number of concurrent requests
+ * @param trustedRefusals whether a refusal guarantees that the request did not run
+ * @param leaving whether it drains before it shuts down
  */
 public record Upstream(
     Kind kind,
@@ -27,7 +27,7 @@
     int slots,
     boolean trustedRefusals,
     boolean leaving) {
-  /** What an upstream is. */
+  /** The kind of an upstream. */
   public enum Kind {
     @JsonProperty("engine")
     ENGINE,
--- a/org.oatlug/src/org/oatlug/config/Version.java
+++ b/org.oatlug/src/org/oatlug/config/Version.java
@@ -9,8 +9,8 @@
  * A version of a model. Immutable.
  *
  * @param model the name of the model
- * @param state its state
- * @param costPerThousandTokens in millionths of the billing unit
+ * @param state the state of the version
+ * @param costPerThousandTokens the cost of 1,000 tokens, in millionths of the billing unit
  */
 public record Version(String model, VersionState state, long costPerThousandTokens) {
 
--- a/org.oatlug/src/org/oatlug/config/Workspace.java
+++ b/org.oatlug/src/org/oatlug/config/Workspace.java
@@ -6,12 +6,12 @@
 import java.util.List;
 
 /**
- * A customer's space: its keys, its policy and its limits. Immutable.
+ * A customer with its keys, policy and limits. Immutable.
  *
- * @param keyHashes SHA-256 of each key, in hexadecimal
+ * @param keyHashes the SHA-256 hash of each key, in hexadecimal
  * @param policy the name of its policy
- * @param requestsPerSecond the rate over all instances
- * @param priority from 0 (shed first) to 9 (shed last)
+ * @param requestsPerSecond the maximum request rate over all instances
+ * @param priority the priority, from 0 (shed first) to 9 (shed last)
  */
 public record Workspace(
     List<String> keyHashes, String policy, double requestsPerSecond, int priority) {}
--- a/org.oatlug/src/org/oatlug/config/package-info.java
+++ b/org.oatlug/src/org/oatlug/config/package-info.java
@@ -1,2 +1,2 @@
-/** The configuration kinds that operators publish and the settings of an instance. */
+/** Configuration objects that operators publish, and the settings of an instance. */
 package org.oatlug.config;
--- a/org.oatlug/src/org/oatlug/errors/ConfigurationInvalidException.java
+++ b/org.oatlug/src/org/oatlug/errors/ConfigurationInvalidException.java
@@ -3,24 +3,24 @@
 
 package org.oatlug.errors;
 
-/** An object whose content breaks a rule of its kind. Immutable. */
+/** Signals an object whose content violates a rule of its kind. Immutable. */
 public final class ConfigurationInvalidException extends OatlugException {
   private static final long serialVersionUID = 1L;
 
   private final String path;
 
   /**
-   * Creates the failure.
+   * Creates the exception.
    *
-   * @param path the object and field at fault
-   * @param problem what is wrong, for a person
+   * @param path the path of the invalid object or field
+   * @param problem a human-readable description of the problem
    */
   public ConfigurationInvalidException(String path, String problem) {
     super(ErrorText.format(ErrorText.get().configurationInvalid, path, problem));
     this.path = path;
   }
 
-  /** Returns the object and field at fault. */
+  /** Returns the path of the invalid object or field. */
   public String path() {
     return path;
   }
--- a/org.oatlug/src/org/oatlug/errors/ConflictException.java
+++ b/org.oatlug/src/org/oatlug/errors/ConflictException.java
@@ -3,7 +3,7 @@
 
 package org.oatlug.errors;
 
-/** A conditional write that found another version than it expected; it had no effect. Immutable. */
+/** Signals a conditional write without effect because of another revision. Immutable. */
 public final class ConflictException extends OatlugException {
   private static final long serialVersionUID = 1L;
 
@@ -11,11 +11,11 @@
   private final transient java.util.Optional<org.oatlug.platform.StoredObject> current;
 
   /**
-   * Creates the failure.
+   * Creates the exception.
    *
    * @param key the object
-   * @param expected the version that the write expected
-   * @param current the object as it stands, empty if there is none
+   * @param expected the revision that the write expected
+   * @param current the current object, empty if there is none
    */
   public ConflictException(
       org.oatlug.api.ObjectKey key,
@@ -33,12 +33,12 @@
     this.current = current;
   }
 
-  /** Returns the version that the write expected. */
+  /** Returns the revision that the write expected. */
   public org.oatlug.platform.StoreRevision expected() {
     return expected;
   }
 
-  /** Returns the object as it stands. */
+  /** Returns the current object, empty if there is none. */
   public java.util.Optional<org.oatlug.platform.StoredObject> current() {
     return current;
   }
--- a/org.oatlug/src/org/oatlug/errors/EarlierEpochException.java
+++ b/org.oatlug/src/org/oatlug/errors/EarlierEpochException.java
@@ -4,17 +4,17 @@
 package org.oatlug.errors;
 
 /**
- * An answer of the store, or a condition of a write, that is of an epoch before its last restore.
- * Immutable.
+ * Signals a response of the store, or a condition of a write, with an epoch before the last restore
+ * of the store. Immutable.
  */
 public final class EarlierEpochException extends OatlugException {
   private static final long serialVersionUID = 1L;
 
   /**
-   * Creates the failure.
+   * Creates the exception.
    *
-   * @param operation the call
-   * @param epoch the epoch of the answer or of the condition
+   * @param operation the name of the call
+   * @param epoch the epoch of the response or of the condition
    * @param newest the newest known epoch
    */
   public EarlierEpochException(String operation, long epoch, long newest) {
--- a/org.oatlug/src/org/oatlug/errors/ErrorText.java
+++ b/org.oatlug/src/org/oatlug/errors/ErrorText.java
@@ -8,7 +8,7 @@
 import java.util.ResourceBundle;
 
 /**
- * The texts of failures and refusals, one field a message, loaded from {@code
+ * Holds the texts of exceptions and refusals, one per field, loaded from {@code
  * ErrorText.properties}.
  *
  * <p>Invariant: every field has a text in the bundle. Immutable after loading, thread-safe.
@@ -68,7 +68,7 @@
     return INSTANCE;
   }
 
-  /** Returns {@code pattern} with its numbered places filled. */
+  /** Returns {@code pattern} with its numbered placeholders replaced. */
   public static String format(String pattern, Object... values) {
     return MessageFormat.format(pattern, values);
   }
--- a/org.oatlug/src/org/oatlug/errors/LedgerUnavailableException.java
+++ b/org.oatlug/src/org/oatlug/errors/LedgerUnavailableException.java
@@ -3,14 +3,14 @@
 
 package org.oatlug.errors;
 
-/** A ledger entry that could not be confirmed; it may still take effect. Immutable. */
+/** Signals an unconfirmed ledger entry, which may still take effect. Immutable. */
 public final class LedgerUnavailableException extends OatlugException {
   private static final long serialVersionUID = 1L;
 
   /**
-   * Creates the failure.
+   * Creates the exception.
    *
-   * @param cause why, may be null
+   * @param cause the cause, may be null
    */
   public LedgerUnavailableException(Throwable cause) {
     super(ErrorText.get().ledgerUnavailable, cause);
--- a/org.oatlug/src/org/oatlug/errors/MalformedFrameException.java
+++ b/org.oatlug/src/org/oatlug/errors/MalformedFrameException.java
@@ -3,14 +3,14 @@
 
 package org.oatlug.errors;
 
-/** Bytes from a peer that are no frame of the protocol. Immutable. */
+/** Signals bytes from a peer that are not a valid frame. Immutable. */
 public final class MalformedFrameException extends OatlugException {
   private static final long serialVersionUID = 1L;
 
   /**
-   * Creates the failure.
+   * Creates the exception.
    *
-   * @param problem what is wrong
+   * @param problem a description of the problem
    */
   public MalformedFrameException(String problem) {
     super(ErrorText.format(ErrorText.get().malformedFrame, problem));
--- a/org.oatlug/src/org/oatlug/errors/OatlugException.java
+++ b/org.oatlug/src/org/oatlug/errors/OatlugException.java
@@ -3,16 +3,16 @@
 
 package org.oatlug.errors;
 
-/** The common parent of all failures that oatlug names. Immutable. */
+/** The base class of all checked exceptions of oatlug. Immutable. */
 public abstract class OatlugException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Creates a failure with a message for a person. */
+  /** Creates an exception with a human-readable message. */
   protected OatlugException(String message) {
     super(message);
   }
 
-  /** Creates a failure with a message for a person and its cause. */
+  /** Creates an exception with a human-readable message and a cause. */
   protected OatlugException(String message, Throwable cause) {
     super(message, cause);
   }
--- a/org.oatlug/src/org/oatlug/errors/PeerUnavailableException.java
+++ b/org.oatlug/src/org/oatlug/errors/PeerUnavailableException.java
@@ -3,14 +3,14 @@
 
 package org.oatlug.errors;
 
-/** A peer that cannot be reached or did not answer in time. Immutable. */
+/** Signals a peer that is unreachable or did not respond in time. Immutable. */
 public final class PeerUnavailableException extends OatlugException {
   private static final long serialVersionUID = 1L;
 
   private final String peer;
 
   /**
-   * Creates the failure.
+   * Creates the exception.
    *
    * @param peer the name of the peer
    */
--- a/org.oatlug/src/org/oatlug/errors/PlatformBusyException.java
+++ b/org.oatlug/src/org/oatlug/errors/PlatformBusyException.java
@@ -3,23 +3,23 @@
 
 package org.oatlug.errors;
 
-/** A call that the platform refused because its rate is used up; it had no effect. Immutable. */
+/** Signals a call without effect, rejected by the rate limit of the platform. Immutable. */
 public final class PlatformBusyException extends OatlugException {
   private static final long serialVersionUID = 1L;
 
   private final String operation;
 
   /**
-   * Creates the failure.
+   * Creates the exception.
    *
-   * @param operation the refused call
+   * @param operation the name of the rejected call
    */
   public PlatformBusyException(String operation) {
     super(ErrorText.format(ErrorText.get().platformBusy, operation));
     this.operation = operation;
   }
 
-  /** Returns the refused call. */
+  /** Returns the name of the rejected call. */
   public String operation() {
     return operation;
   }
--- a/org.oatlug/src/org/oatlug/errors/PlatformUnavailableException.java
+++ b/org.oatlug/src/org/oatlug/errors/PlatformUnavailableException.java
@@ -3,24 +3,24 @@
 
 package org.oatlug.errors;
 
-/** A call to the platform without an answer; a write may have taken effect. Immutable. */
+/** Signals a platform call without a response; a write may have taken effect. Immutable. */
 public final class PlatformUnavailableException extends OatlugException {
   private static final long serialVersionUID = 1L;
 
   private final String operation;
 
   /**
-   * Creates the failure.
+   * Creates the exception.
    *
-   * @param operation the call that had no answer
-   * @param cause what the transport reported
+   * @param operation the name of the call without a response
+   * @param cause the failure reported by the transport
    */
   public PlatformUnavailableException(String operation, Throwable cause) {
     super(ErrorText.format(ErrorText.get().platformUnavailable, operation), cause);
     this.operation = operation;
   }
 
-  /** Returns the call that had no answer. */
+  /** Returns the name of the call without a response. */
   public String operation() {
     return operation;
   }
--- a/org.oatlug/src/org/oatlug/errors/PolicyInvalidException.java
+++ b/org.oatlug/src/org/oatlug/errors/PolicyInvalidException.java
@@ -3,7 +3,7 @@
 
 package org.oatlug.errors;
 
-/** A policy program that does not compile. Immutable. */
+/** Signals a policy program that does not compile. Immutable. */
 public final class PolicyInvalidException extends OatlugException {
   private static final long serialVersionUID = 1L;
 
@@ -11,12 +11,12 @@
   private final int column;
 
   /**
-   * Creates the failure.
+   * Creates the exception.
    *
    * @param policy the name of the policy
    * @param line the line, from 1
    * @param column the column, from 1
-   * @param problem what the compiler says
+   * @param problem the compiler's message
    */
   public PolicyInvalidException(String policy, int line, int column, String problem) {
     super(ErrorText.format(ErrorText.get().policyInvalid, policy, line, column, problem));
--- a/org.oatlug/src/org/oatlug/errors/RefusedException.java
+++ b/org.oatlug/src/org/oatlug/errors/RefusedException.java
@@ -3,23 +3,23 @@
 
 package org.oatlug.errors;
 
-/** A request that ends with a typed refusal. Immutable. */
+/** Signals a request that ends with a typed refusal. Immutable. */
 public final class RefusedException extends OatlugException {
   private static final long serialVersionUID = 1L;
 
   private final transient org.oatlug.api.Refusal refusal;
 
   /**
-   * Creates the failure.
+   * Creates the exception.
    *
-   * @param refusal what the caller is told
+   * @param refusal the refusal sent to the caller
    */
   public RefusedException(org.oatlug.api.Refusal refusal) {
     super(refusal.detail());
     this.refusal = refusal;
   }
 
-  /** Returns what the caller is told. */
+  /** Returns the refusal sent to the caller. */
   public org.oatlug.api.Refusal refusal() {
     return refusal;
   }
--- a/org.oatlug/src/org/oatlug/errors/RequestInvalidException.java
+++ b/org.oatlug/src/org/oatlug/errors/RequestInvalidException.java
@@ -3,11 +3,11 @@
 
 package org.oatlug.errors;
 
-/** A caller's request breaks the protocol; it is not passed on. Immutable. */
+/** Signals a request that violates the protocol and is not forwarded. Immutable. */
 public final class RequestInvalidException extends OatlugException {
   private static final long serialVersionUID = 1L;
 
-  /** Returns a failure that names what is wrong. */
+  /** Creates an exception with a description of the problem. */
   public RequestInvalidException(String problem) {
     super(ErrorText.format(ErrorText.get().requestInvalid, problem));
   }
--- a/org.oatlug/src/org/oatlug/errors/SessionTokenInvalidException.java
+++ b/org.oatlug/src/org/oatlug/errors/SessionTokenInvalidException.java
@@ -3,14 +3,14 @@
 
 package org.oatlug.errors;
 
-/** A session token that was not signed by a known key. Immutable. */
+/** Signals a session token that was not signed by a known key. Immutable. */
 public final class SessionTokenInvalidException extends OatlugException {
   private static final long serialVersionUID = 1L;
 
   /**
-   * Creates the failure.
+   * Creates the exception.
    *
-   * @param problem what is wrong
+   * @param problem a description of the problem
    */
   public SessionTokenInvalidException(String problem) {
     super(ErrorText.format(ErrorText.get().sessionInvalid, problem));
--- a/org.oatlug/src/org/oatlug/errors/UpstreamFailedException.java
+++ b/org.oatlug/src/org/oatlug/errors/UpstreamFailedException.java
@@ -6,54 +6,54 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** An upstream that could not be reached, refused or broke off. Immutable. */
+/** Signals an upstream that was unreachable, refused or aborted its response. Immutable. */
 public final class UpstreamFailedException extends OatlugException {
   private static final long serialVersionUID = 1L;
 
-  /** How far the attempt came when it failed. */
+  /** The progress of an attempt at the time of its failure. */
   public enum Progress {
-    /** No byte was handed to the upstream. */
+    /** No byte was sent to the upstream. */
     NOT_SENT,
-    /** The upstream refused with an answer of its own. */
+    /** The upstream responded with a refusal. */
     REFUSED,
-    /** Bytes were handed over; no byte of the answer came. */
+    /** Bytes were sent, but no byte of a response was received. */
     SENT,
-    /** The answer broke off. */
+    /** The response was interrupted. */
     ANSWERING
   }
 
   private final String upstream;
   private final Progress progress;
-  private final transient Optional<Duration> rest;
+  private final transient Optional<Duration> retryAfter;
 
   /**
-   * Creates the failure.
+   * Creates the exception.
    *
    * @param upstream the name of the upstream
-   * @param progress how far the attempt came
-   * @param problem what happened
+   * @param progress the progress of the attempt
+   * @param problem a description of the failure
    */
   public UpstreamFailedException(String upstream, Progress progress, String problem) {
     this(upstream, progress, problem, Optional.empty());
   }
 
   private UpstreamFailedException(
-      String upstream, Progress progress, String problem, Optional<Duration> rest) {
+      String upstream, Progress progress, String problem, Optional<Duration> retryAfter) {
     super(ErrorText.format(ErrorText.get().upstreamFailed, upstream, problem));
     this.upstream = upstream;
     this.progress = progress;
-    this.rest = rest;
+    this.retryAfter = retryAfter;
   }
 
-  /** Returns the failure of an attempt that the upstream refused, and may want rest after. */
+  /** Returns an exception for a refusal, with the back-off that the upstream requested. */
   public static UpstreamFailedException refused(
-      String upstream, String problem, Optional<Duration> rest) {
-    return new UpstreamFailedException(upstream, Progress.REFUSED, problem, rest);
+      String upstream, String problem, Optional<Duration> retryAfter) {
+    return new UpstreamFailedException(upstream, Progress.REFUSED, problem, retryAfter);
   }
 
-  /** Returns for how long the upstream that refused wants nothing, empty if it does not ask. */
+  /** Returns the back-off that the upstream requested, empty if it requested none. */
   public Optional<Duration> rest() {
-    return rest;
+    return retryAfter;
   }
 
   /** Returns the name of the upstream. */
@@ -61,7 +61,7 @@
     return upstream;
   }
 
-  /** Returns how far the attempt came. */
+  /** Returns the progress of the attempt. */
   public Progress progress() {
     return progress;
   }
--- a/org.oatlug/src/org/oatlug/errors/UsageException.java
+++ b/org.oatlug/src/org/oatlug/errors/UsageException.java
@@ -3,14 +3,14 @@
 
 package org.oatlug.errors;
 
-/** Arguments that a command does not understand. Immutable. */
+/** Signals invalid command-line arguments. Immutable. */
 public final class UsageException extends OatlugException {
   private static final long serialVersionUID = 1L;
 
   /**
-   * Creates the failure.
+   * Creates the exception.
    *
-   * @param problem what is wrong
+   * @param problem a description of the problem
    */
   public UsageException(String problem) {
     super(ErrorText.format(ErrorText.get().usage, problem));
--- a/org.oatlug/src/org/oatlug/errors/package-info.java
+++ b/org.oatlug/src/org/oatlug/errors/package-info.java
@@ -1,2 +1,2 @@
-/** One checked exception class for each failure. */
+/** Checked exceptions, one class for each kind of failure. */
 package org.oatlug.errors;
