--- a/org.oatlug.entry/src/org/oatlug/entry/Drainable.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/Drainable.java
@@ -8,6 +8,6 @@
 /** A component that the daemon runs and shuts down gracefully. */
 interface Drainable {
 
-  /** Shuts down gracefully; the future completes when no request is open. */
+  /** Shuts down gracefully; the future completes when all open work is done. */
   Future<Void> drain();
 }
--- a/org.oatlug.entry/src/org/oatlug/entry/EntryInstance.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/EntryInstance.java
@@ -51,19 +51,19 @@
 import org.oatlug.platform.Platform;
 
 /**
- * One entry instance, wired together on one event loop.
+ * An entry instance, whose components share one event loop.
  *
- * <p>Invariant: tables and systems are only touched by the event loop of this verticle. A planned
- * stop first stops being ready, goes on accepting while the balancer notices, finishes every open
- * request and hands over what the ledger has not confirmed.
+ * <p>Invariant: tables and systems are only accessed by the event loop of this verticle. A graceful
+ * shutdown first reports the instance as not ready, still accepts requests until the load balancer
+ * reacts, completes all open requests and then waits for the confirmations of the ledger.
  */
 final class EntryInstance extends VerticleBase implements Drainable {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final long TICK_MILLIS = 20;
-  private static final long STOP_POLL_MILLIS = 20;
-  private static final Duration HAND_OVER = Duration.ofSeconds(5);
+  private static final long SHUTDOWN_POLL_MILLIS = 20;
+  private static final Duration LEDGER_FLUSH_TIMEOUT = Duration.ofSeconds(5);
   private static final Duration CONFIRM_RETRY = Duration.ofSeconds(1);
-  private static final Duration NEWS_PATIENCE = Duration.ofMillis(500);
+  private static final Duration LEAVING_TIMEOUT = Duration.ofMillis(500);
 
   private final Settings settings;
   private final InstantSource clock = MonotonicClock.create();
@@ -104,8 +104,8 @@
         Freshness.withBound(Duration.ofMillis(settings.limits().freshnessMillis()));
     final Tables tables = Tables.create(freshness);
     Platform platform = HttpPlatform.create(vertx, settings.platform());
-    LatePeers late = new LatePeers();
-    TcpPeers network = TcpPeers.create(vertx, settings.peers(), membership::self, late);
+    LatePeers deferredHandler = new LatePeers();
+    TcpPeers network = TcpPeers.create(vertx, settings.peers(), membership::self, deferredHandler);
     membership.connect(network);
     final Ledger ledger =
         Ledger.create(settings.ledger(), platform, clock, membership, network, meters.registry());
@@ -122,9 +122,9 @@
             new ConfigurationSystem.Support(clock, random, meters, List.of(Kinds.ALL)));
     final RolloutGuard guard =
         RolloutGuard.create(tables, platform, membership, network, clock, meters);
-    late.handOnTo(
+    deferredHandler.handOnTo(
         new SharedStatePeers(
-            membership, configuration, new PeerDispatch(tables, ledger, billing, guard)));
+            membership, configuration, new PeerMessageDispatcher(tables, ledger, billing, guard)));
     network.listen().onFailure(failure -> logger.atSevere().withCause(failure).log("peers"));
     WaitingLine line = WaitingLine.create();
     PauseWatch pause = PauseWatch.create(clock, () -> confirm(tables, configuration));
@@ -135,7 +135,7 @@
             WebClient.create(vertx),
             clock,
             meters,
-            upstream -> tellLeaving(membership, network, upstream));
+            upstream -> announceLeaving(membership, network, upstream));
     services =
         new Services(
             vertx,
@@ -192,9 +192,9 @@
     return configured && !stopping && services.tables().freshness().isConfirmed();
   }
 
-  /** Confirms the configuration after a pause; goes on unconfirmed when nobody can be reached. */
+  /** Confirms the configuration after a process pause; it stays unconfirmed until that succeeds. */
   private void confirm(Tables tables, ConfigurationSystem configuration) {
-    logger.atWarning().log("the process stood still; its configuration is confirmed anew");
+    logger.atWarning().log("process pause detected; confirming the configuration again");
     services.meters().count("pause");
     tables.freshness().doubt();
     configuration
@@ -206,12 +206,12 @@
                 vertx.setTimer(CONFIRM_RETRY.toMillis(), timer -> confirm(tables, configuration)));
   }
 
-  private void tellLeaving(Membership membership, PeerNetwork network, String upstream) {
+  private void announceLeaving(Membership membership, PeerNetwork network, String upstream) {
     logger.atInfo().log("upstream %s is leaving", upstream);
-    PeerMessage news = new PeerMessage.UpstreamLeaving(upstream);
+    PeerMessage notice = new PeerMessage.UpstreamLeaving(upstream);
     for (Member peer : membership.live()) {
       if (!membership.isSelf(peer)) {
-        network.ask(peer, news, NEWS_PATIENCE).subscribe().with(done -> {}, failure -> {});
+        network.ask(peer, notice, LEAVING_TIMEOUT).subscribe().with(done -> {}, failure -> {});
       }
     }
   }
@@ -221,36 +221,38 @@
     Promise<Void> promise = Promise.promise();
     context.runOnContext(
         unused -> {
-          logger.atInfo().log("instance %s stops as planned", settings.name());
+          logger.atInfo().log("instance %s shuts down gracefully", settings.name());
           stopping = true;
           services.membership().leave();
-          long lag = Math.max(1, settings.limits().drainMillis());
-          vertx.setTimer(lag, timer -> finishOpen(promise));
+          long drainDelay = Math.max(1, settings.limits().drainMillis());
+          vertx.setTimer(drainDelay, timer -> awaitOpenRequests(promise));
         });
     return promise.future();
   }
 
-  private void finishOpen(Promise<Void> promise) {
+  private void awaitOpenRequests(Promise<Void> promise) {
     services.open().stop();
     vertx.setPeriodic(
-        STOP_POLL_MILLIS,
+        SHUTDOWN_POLL_MILLIS,
         timer -> {
           if (services.open().count() == 0) {
             vertx.cancelTimer(timer);
-            handOver(promise, clock.instant().plus(HAND_OVER));
+            awaitLedger(promise, clock.instant().plus(LEDGER_FLUSH_TIMEOUT));
           }
         });
   }
 
-  /** Waits for the ledger; what it has not confirmed by then is with the witnesses. */
-  private void handOver(Promise<Void> promise, Instant limit) {
+  /** Waits until the ledger has confirmed all entries; the witnesses hold those that remain. */
+  private void awaitLedger(Promise<Void> promise, Instant deadline) {
     vertx.setPeriodic(
-        STOP_POLL_MILLIS,
+        SHUTDOWN_POLL_MILLIS,
         timer -> {
-          int left = services.billing().unconfirmed() + services.claims().unrecorded();
-          if (left == 0 || clock.instant().isAfter(limit)) {
+          int pendingEntries = services.billing().unconfirmed() + services.claims().unrecorded();
+          if (pendingEntries == 0 || clock.instant().isAfter(deadline)) {
             vertx.cancelTimer(timer);
-            logger.atInfo().log("instance %s stopped, %d entries left", settings.name(), left);
+            logger.atInfo().log(
+                "instance %s stopped, %d ledger entries unconfirmed",
+                settings.name(), pendingEntries);
             promise.tryComplete();
           }
         });
--- a/org.oatlug.entry/src/org/oatlug/entry/LatePeers.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/LatePeers.java
@@ -9,20 +9,20 @@
 import org.oatlug.internal.peer.PeerMessage;
 
 /**
- * Answers peers that come before the parts of an instance are made, and then hands their messages
- * on. Used from one event loop.
+ * Rejects messages of peers until the components of an instance are created, and then delegates to
+ * their handler. Used from one event loop.
  */
 final class LatePeers implements PeerHandler {
-  private PeerHandler target =
+  private PeerHandler delegate =
       (from, message) -> Uni.createFrom().item(new PeerMessage.Failed("starting"));
 
-  /** Sets who answers from now on. */
+  /** Sets the handler of all further messages. */
   void handOnTo(PeerHandler handler) {
-    target = handler;
+    delegate = handler;
   }
 
   @Override
   public Uni<PeerMessage> handle(Member from, PeerMessage message) {
-    return target.handle(from, message);
+    return delegate.handle(from, message);
   }
 }
--- a/org.oatlug.entry/src/org/oatlug/entry/Oatlugd.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/Oatlugd.java
@@ -29,14 +29,14 @@
 /**
  * The daemon: {@code oatlugd [--gateway] --settings FILE [--check]}.
  *
- * <p>Exit codes: 0 after a planned stop or a good check, 1 when it cannot start, 2 for wrong
- * arguments or settings.
+ * <p>Exit codes: 0 after a graceful shutdown or a successful check, 1 if it cannot start or shut
+ * down gracefully, 2 for invalid arguments or settings.
  */
 public final class Oatlugd {
   private static final int FAILED = 1;
-  private static final int WRONG = 2;
-  private static final long START_SECONDS = 30;
-  private static final long DRAIN_MINUTES = 15;
+  private static final int INVALID_USAGE = 2;
+  private static final long START_TIMEOUT_SECONDS = 30;
+  private static final long DRAIN_TIMEOUT_MINUTES = 15;
   private static final String USAGE =
       "usage: oatlugd [--gateway] (--settings FILE | --settings-variable NAME) [--check]";
 
@@ -45,38 +45,38 @@
   /** Runs the daemon. */
   public static void main(String[] arguments) {
     try {
-      CommandLine line = new DefaultParser().parse(options(), arguments);
-      if (line.hasOption("gateway")) {
-        runGateway(line);
+      CommandLine commandLine = new DefaultParser().parse(options(), arguments);
+      if (commandLine.hasOption("gateway")) {
+        runGateway(commandLine);
         return;
       }
-      if (line.hasOption("help") || !line.hasOption("settings")) {
+      if (commandLine.hasOption("help") || !commandLine.hasOption("settings")) {
         System.err.println(USAGE);
-        System.exit(line.hasOption("help") ? 0 : WRONG);
+        System.exit(commandLine.hasOption("help") ? 0 : INVALID_USAGE);
       }
-      Settings settings = SettingsFile.read(Path.of(line.getOptionValue("settings")));
-      if (line.hasOption("check")) {
+      Settings settings = SettingsFile.read(Path.of(commandLine.getOptionValue("settings")));
+      if (commandLine.hasOption("check")) {
         System.out.println("settings are good");
         return;
       }
       run(new EntryInstance(settings), Transport.NIO);
     } catch (ParseException e) {
       System.err.println(e.getMessage() + System.lineSeparator() + USAGE);
-      System.exit(WRONG);
+      System.exit(INVALID_USAGE);
     } catch (SettingsInvalidException e) {
       e.problems().forEach(System.err::println);
-      System.exit(WRONG);
+      System.exit(INVALID_USAGE);
     }
   }
 
-  private static void runGateway(CommandLine line) throws SettingsInvalidException {
-    Path file = settingsPath(line);
-    if (line.hasOption("check")) {
+  private static void runGateway(CommandLine commandLine) throws SettingsInvalidException {
+    Path file = settingsPath(commandLine);
+    if (commandLine.hasOption("check")) {
       SettingsFile.checkGateway(file);
       System.out.println("settings are good");
       return;
     }
-    Optional<EarlySocket> early = EarlySocket.open(file);
+    Optional<PreboundSocket> socket = PreboundSocket.open(file);
     GatewaySettings settings = SettingsFile.readGateway(file);
     DeploymentAdapter adapter =
         ServiceLoader.load(DeploymentAdapter.class)
@@ -84,15 +84,15 @@
             .orElseThrow(() -> new SettingsInvalidException(List.of("no adapter is installed")));
     GatewayInstance instance = new GatewayInstance(settings, adapter);
     SettingsWatch.start(file, instance);
-    run(instance, early.map(EarlySocket::transport).orElse(Transport.NIO));
+    run(instance, socket.map(PreboundSocket::transport).orElse(Transport.NIO));
   }
 
-  /** Returns the settings file: named itself, or by an environment variable. */
-  private static Path settingsPath(CommandLine line) throws SettingsInvalidException {
-    if (line.hasOption("settings")) {
-      return Path.of(line.getOptionValue("settings"));
+  /** Returns the path of the settings file, from the option or an environment variable. */
+  private static Path settingsPath(CommandLine commandLine) throws SettingsInvalidException {
+    if (commandLine.hasOption("settings")) {
+      return Path.of(commandLine.getOptionValue("settings"));
     }
-    String variable = line.getOptionValue("settings-variable", "");
+    String variable = commandLine.getOptionValue("settings-variable", "");
     String path = System.getenv(variable);
     if (path == null) {
       throw new SettingsInvalidException(List.of("the variable '" + variable + "' is not set"));
@@ -119,7 +119,7 @@
           .deployVerticle(instance)
           .toCompletionStage()
           .toCompletableFuture()
-          .get(START_SECONDS, TimeUnit.SECONDS);
+          .get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException | InterruptedException e) {
       System.err.println("cannot start: " + e.getMessage());
       Runtime.getRuntime().halt(FAILED);
@@ -133,7 +133,7 @@
           .drain()
           .toCompletionStage()
           .toCompletableFuture()
-          .get(DRAIN_MINUTES, TimeUnit.MINUTES);
+          .get(DRAIN_TIMEOUT_MINUTES, TimeUnit.MINUTES);
       JsonLines.close();
       Runtime.getRuntime().halt(0);
     } catch (ExecutionException | TimeoutException | InterruptedException e) {
--- a/org.oatlug.entry/src/org/oatlug/entry/PeerDispatch.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/PeerMessageDispatcher.java
@@ -13,15 +13,16 @@
 import org.oatlug.internal.table.Tables;
 
 /**
- * Hands each message of a peer about requests and roll-outs to the system that it is for. Used from
+ * Dispatches peer messages about requests and roll-outs to the systems that handle them. Used from
  * one event loop.
  *
- * @param tables the tables
- * @param ledger takes entries
- * @param billing takes bills
- * @param guard takes evidence
+ * @param tables the tables, with the catalogue and the upstreams
+ * @param ledger receives ledger entries
+ * @param billing receives bills
+ * @param guard receives roll-out evidence
  */
-record PeerDispatch(Tables tables, Ledger ledger, BillingSystem billing, RolloutGuard guard)
+record PeerMessageDispatcher(
+    Tables tables, Ledger ledger, BillingSystem billing, RolloutGuard guard)
     implements PeerHandler {
 
   @Override
@@ -29,10 +30,10 @@
     if (message instanceof PeerMessage.Submit submit) {
       return ledger.submitted(submit);
     }
-    return Uni.createFrom().item(answerAtOnce(from, message));
+    return Uni.createFrom().item(handleSynchronously(from, message));
   }
 
-  private PeerMessage answerAtOnce(Member from, PeerMessage message) {
+  private PeerMessage handleSynchronously(Member from, PeerMessage message) {
     if (message instanceof PeerMessage.HoldBill || message instanceof PeerMessage.DropBills) {
       return billing.handle(message);
     }
--- a/org.oatlug.entry/src/org/oatlug/entry/EarlySocket.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/PreboundSocket.java
@@ -21,40 +21,41 @@
 import org.oatlug.gateway.GatewaySettings.Endpoint;
 
 /**
- * The socket that callers connect to, opened before all else at a start.
+ * A server socket for callers that is opened before the rest of the process starts.
  *
  * <p>Loading the libraries takes several times as long as reading one field of the settings. A
- * caller that connects meanwhile waits in the socket's queue and is served; without the socket it
- * is turned away by the system and gives up after a few tries.
+ * caller that connects in the meantime waits in the backlog of the socket and is then served.
+ * Without the socket, the system would refuse the connection and the caller would give up after a
+ * few attempts.
  *
- * <p>Invariant: the first server that is started over {@link #transport} gets the socket and has to
- * be the callers' one. Used from the main thread, then by the transport.
+ * <p>Invariant: the first server that is started with {@link #transport} receives the socket and
+ * must be the server for callers. Used by the main thread, then by the transport.
  */
-final class EarlySocket {
-  /** The field of the settings that says where callers connect. */
+final class PreboundSocket {
+  /** The settings field with the listen address for callers. */
   private static final String CALLERS = "callers";
 
-  /** Callers that may wait to be accepted: those of some seconds at the busiest instance. */
-  private static final int WAITING_CALLERS = 1024;
+  /** The maximum number of connections that wait to be accepted: some seconds of peak load. */
+  private static final int BACKLOG = 1024;
 
   private final ServerSocketChannel channel;
 
-  private EarlySocket(ServerSocketChannel channel) {
+  private PreboundSocket(ServerSocketChannel channel) {
     this.channel = channel;
   }
 
-  /** Opens the socket; empty if the settings do not say where or the address is not to be had. */
-  static Optional<EarlySocket> open(Path settings) {
+  /** Opens the socket; empty if the settings have no address or it cannot be bound. */
+  static Optional<PreboundSocket> open(Path settings) {
     try {
-      Optional<Endpoint> callers = callersIn(settings);
+      Optional<Endpoint> callers = readCallerAddress(settings);
       if (callers.isEmpty()) {
         return Optional.empty();
       }
-      return Optional.of(new EarlySocket(bind(callers.get())));
+      return Optional.of(new PreboundSocket(bind(callers.get())));
     } catch (IOException | IllegalArgumentException e) {
       Log.logger
           .atWarning()
-          .log("callers are not let in before the start is done: %s", e.getMessage());
+          .log("cannot accept callers before the start is complete: %s", e.getMessage());
       return Optional.empty();
     }
   }
@@ -62,23 +63,23 @@
   private static ServerSocketChannel bind(Endpoint address) throws IOException {
     ServerSocketChannel channel = ServerSocketChannel.open();
     try {
-      return channel.bind(new InetSocketAddress(address.host(), address.port()), WAITING_CALLERS);
+      return channel.bind(new InetSocketAddress(address.host(), address.port()), BACKLOG);
     } catch (IOException e) {
       channel.close();
       throw e;
     }
   }
 
-  /** Returns the address in the settings, read without what the whole settings need. */
-  private static Optional<Endpoint> callersIn(Path settings) throws IOException {
+  /** Reads only the address from the settings, without data binding. */
+  private static Optional<Endpoint> readCallerAddress(Path settings) throws IOException {
     try (JsonParser parser = new JsonFactory().createParser(settings.toFile())) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
         return Optional.empty();
       }
       while (parser.nextToken() == JsonToken.FIELD_NAME) {
-        boolean found = parser.currentName().equals(CALLERS);
+        boolean isCallers = parser.currentName().equals(CALLERS);
         JsonToken value = parser.nextToken();
-        if (found && value == JsonToken.VALUE_STRING) {
+        if (isCallers && value == JsonToken.VALUE_STRING) {
           return Optional.of(Endpoint.parse(parser.getText()));
         }
         parser.skipChildren();
@@ -87,9 +88,9 @@
     }
   }
 
-  /** Returns a transport whose first server takes the socket over. */
+  /** Returns a transport whose first server uses the socket. */
   Transport transport() {
-    io.vertx.core.spi.transport.Transport early = new EarlyTransport(channel);
+    io.vertx.core.spi.transport.Transport preboundTransport = new PreboundTransport(channel);
     return new Transport() {
       @Override
       public String name() {
@@ -108,57 +109,59 @@
 
       @Override
       public io.vertx.core.spi.transport.Transport implementation() {
-        return early;
+        return preboundTransport;
       }
     };
   }
 
-  /** Sets logging up on first use: that takes longer than opening the socket. */
+  /** Initializes logging on first use, because that takes longer than opening the socket. */
   private static final class Log {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   }
 
-  /** The usual transport, but for its first server socket. Used from event loops. */
-  private static final class EarlyTransport extends NioTransport {
-    private Optional<ServerSocketChannel> opened;
+  /** The default transport, except for its first server socket. Used by event loops. */
+  private static final class PreboundTransport extends NioTransport {
+    private Optional<ServerSocketChannel> prebound;
 
-    EarlyTransport(ServerSocketChannel opened) {
-      this.opened = Optional.of(opened);
+    PreboundTransport(ServerSocketChannel prebound) {
+      this.prebound = Optional.of(prebound);
     }
 
     @Override
     public ChannelFactory<? extends ServerChannel> serverChannelFactory(boolean domainSocket) {
-      ChannelFactory<? extends ServerChannel> usual = super.serverChannelFactory(domainSocket);
-      return () -> take().<ServerChannel>map(OpenedChannel::new).orElseGet(usual::newChannel);
+      ChannelFactory<? extends ServerChannel> defaultFactory =
+          super.serverChannelFactory(domainSocket);
+      return () ->
+          take().<ServerChannel>map(PreboundChannel::new).orElseGet(defaultFactory::newChannel);
     }
 
     private synchronized Optional<ServerSocketChannel> take() {
-      Optional<ServerSocketChannel> taken = opened;
-      opened = Optional.empty();
-      return taken;
+      Optional<ServerSocketChannel> result = prebound;
+      prebound = Optional.empty();
+      return result;
     }
   }
 
-  /** A server channel whose socket is bound already; it accepts nobody until it is told to bind. */
-  private static final class OpenedChannel extends NioServerSocketChannel {
-    private boolean taken;
+  /** A server channel with a bound socket; it accepts no connection until {@link #doBind}. */
+  private static final class PreboundChannel extends NioServerSocketChannel {
+    private boolean bindCalled;
 
-    OpenedChannel(ServerSocketChannel opened) {
-      super(opened);
+    PreboundChannel(ServerSocketChannel prebound) {
+      super(prebound);
     }
 
     @Override
     public boolean isActive() {
-      return taken && super.isActive();
+      return bindCalled && super.isActive();
     }
 
     @Override
     protected void doBind(SocketAddress address) throws IOException {
       SocketAddress bound = javaChannel().getLocalAddress();
       if (!bound.equals(address)) {
-        throw new IOException("the first server is for " + address + ", not for " + bound);
+        throw new IOException("the first server binds to " + address + ", not to " + bound);
       }
-      taken = true;
+      bindCalled = true;
     }
   }
 }
--- a/org.oatlug.entry/src/org/oatlug/entry/SettingsWatch.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/SettingsWatch.java
@@ -17,56 +17,56 @@
 import sun.misc.Signal;
 
 /**
- * Reads the settings file again when a signal says so, or when the file has changed.
+ * Reloads the settings file on a signal or after a change of the file.
  *
- * <p>Invariant: settings that are not valid change nothing. Runs on a thread of its own; the target
- * is called from it.
+ * <p>Invariant: invalid settings are ignored as a whole. Runs on its own thread, from which it
+ * calls the target.
  */
 final class SettingsWatch {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** How often the file is looked at: a change without a signal is in force within seconds. */
+  /** The polling interval, so that a change without a signal takes effect within seconds. */
   private static final long INTERVAL_MILLIS = 1000;
 
   private final Path file;
   private final Target target;
-  private FileTime seen;
+  private FileTime lastModified;
 
   private SettingsWatch(Path file, Target target) {
     this.file = file;
     this.target = target;
-    this.seen = changeTime();
+    this.lastModified = readModificationTime();
   }
 
-  /** Takes over settings that were read anew. */
+  /** Applies reloaded settings. */
   @FunctionalInterface
   interface Target {
     void reloaded(GatewaySettings settings);
   }
 
-  /** Starts to watch the file and to listen for the signal. */
+  /** Starts to poll the file and to handle the signal. */
   static void start(Path file, Target target) {
     SettingsWatch watch = new SettingsWatch(file, target);
-    ScheduledExecutorService thread =
+    ScheduledExecutorService executor =
         Executors.newSingleThreadScheduledExecutor(
             task -> {
-              Thread made = new Thread(task, "settings");
-              made.setDaemon(true);
-              return made;
+              Thread thread = new Thread(task, "settings");
+              thread.setDaemon(true);
+              return thread;
             });
-    Signal.handle(new Signal("HUP"), signal -> thread.execute(watch::read));
-    thread.scheduleWithFixedDelay(
-        watch::readIfChanged, INTERVAL_MILLIS, INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+    Signal.handle(new Signal("HUP"), signal -> executor.execute(watch::reload));
+    executor.scheduleWithFixedDelay(
+        watch::reloadIfChanged, INTERVAL_MILLIS, INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  private void readIfChanged() {
-    if (!changeTime().equals(seen)) {
-      read();
+  private void reloadIfChanged() {
+    if (!readModificationTime().equals(lastModified)) {
+      reload();
     }
   }
 
-  private void read() {
-    seen = changeTime();
+  private void reload() {
+    lastModified = readModificationTime();
     try {
       target.reloaded(SettingsFile.readGateway(file));
     } catch (SettingsInvalidException e) {
@@ -74,11 +74,12 @@
     }
   }
 
-  private FileTime changeTime() {
+  private FileTime readModificationTime() {
     try {
       return Files.getLastModifiedTime(file);
     } catch (IOException e) {
-      logger.atWarning().log("the settings file cannot be looked at: %s", e.getMessage());
+      logger.atWarning().log(
+          "cannot read the modification time of the settings file: %s", e.getMessage());
       return FileTime.fromMillis(0);
     }
   }
--- a/org.oatlug.entry/src/org/oatlug/entry/SharedStatePeers.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/SharedStatePeers.java
@@ -11,15 +11,15 @@
 import org.oatlug.internal.peer.PeerMessage;
 
 /**
- * Answers what every instance is asked, about members and published objects, and hands other
- * messages on. Used from one event loop.
+ * Handles the messages about members and published objects, which all kinds of instances share, and
+ * delegates other messages. Used from one event loop.
  *
- * @param membership answers probes
- * @param configuration answers digests, takes objects and reads the platform
- * @param others answers everything else
+ * @param membership handles probes
+ * @param configuration handles digests and objects, and reads the platform on behalf of peers
+ * @param delegate handles all other messages
  */
 record SharedStatePeers(
-    Membership membership, ConfigurationSystem configuration, PeerHandler others)
+    Membership membership, ConfigurationSystem configuration, PeerHandler delegate)
     implements PeerHandler {
 
   @Override
@@ -33,6 +33,6 @@
         || message instanceof PeerMessage.ReadInstead) {
       return configuration.handle(from, message);
     }
-    return others.handle(from, message);
+    return delegate.handle(from, message);
   }
 }
--- a/org.oatlug.entry/src/org/oatlug/entry/package-info.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/package-info.java
@@ -1,2 +1,2 @@
-/** The daemon of an entry instance: settings, wiring and main, nothing else. */
+/** The daemon: the main class, the wiring of the instances and the reload of settings. */
 package org.oatlug.entry;
--- a/org.oatlug.test/tst/org/oatlug/entry/EarlySocketTest.java
+++ b/org.oatlug.test/tst/org/oatlug/entry/PreboundSocketTest.java
@@ -22,8 +22,8 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Shows that callers who connect while an instance starts are served once it has started. */
-public class EarlySocketTest {
+/** Guards against the loss of callers that connect before the HTTP server listens. */
+public class PreboundSocketTest {
   private static final String HOST = "127.0.0.1";
 
   private Path settings;
@@ -31,39 +31,39 @@
   private Vertx vertx;
 
   @BeforeMethod
-  void begin() throws IOException {
+  void setUp() throws IOException {
     settings = Files.createTempFile("oatlug-early", ".json");
-    try (ServerSocket free = new ServerSocket(0)) {
-      port = free.getLocalPort();
+    try (ServerSocket freeSocket = new ServerSocket(0)) {
+      port = freeSocket.getLocalPort();
     }
   }
 
   @AfterMethod(alwaysRun = true)
-  void end() throws IOException {
+  void tearDown() throws IOException {
     if (vertx != null) {
       vertx.close().toCompletionStage().toCompletableFuture().join();
     }
     Files.delete(settings);
   }
 
-  private EarlySocket open() throws IOException {
-    String text =
+  private PreboundSocket open() throws IOException {
+    String json =
         "{\"peers\":{\"callers\":\"1.2.3.4:1\"},\"callers\":\"" + HOST + ":" + port + "\"}";
-    Files.writeString(settings, text);
-    return EarlySocket.open(settings).orElseThrow();
+    Files.writeString(settings, json);
+    return PreboundSocket.open(settings).orElseThrow();
   }
 
-  private HttpServer serve(int onPort) {
+  private HttpServer serve(int listenPort) {
     return vertx
         .createHttpServer()
         .requestHandler(request -> request.response().end("served"))
-        .listen(onPort, HOST)
+        .listen(listenPort, HOST)
         .toCompletionStage()
         .toCompletableFuture()
         .join();
   }
 
-  private Socket ask() throws IOException {
+  private Socket sendRequest() throws IOException {
     Socket caller = new Socket(HOST, port);
     caller.setSoTimeout(10_000);
     String request = "GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
@@ -81,29 +81,29 @@
   }
 
   @Test
-  public void testCallerThatConnectedBeforeTheServerIsServed() throws IOException {
-    EarlySocket early = open();
-    Socket caller = ask();
-    vertx = Vertx.builder().withTransport(early.transport()).build();
+  public void testCallerConnectedBeforeServerStartIsServed() throws IOException {
+    PreboundSocket socket = open();
+    Socket caller = sendRequest();
+    vertx = Vertx.builder().withTransport(socket.transport()).build();
     serve(port);
     assertServed(caller);
-    assertServed(ask());
-    int second = serve(0).actualPort();
-    assertTrue(second != port, "a second server has a socket of its own");
+    assertServed(sendRequest());
+    int secondPort = serve(0).actualPort();
+    assertTrue(secondPort != port, "a second server has its own socket");
   }
 
   @Test
-  public void testServerForAnotherAddressDoesNotGetTheSocket() throws IOException {
-    EarlySocket early = open();
-    vertx = Vertx.builder().withTransport(early.transport()).build();
+  public void testServerForAnotherAddressFailsToBind() throws IOException {
+    PreboundSocket socket = open();
+    vertx = Vertx.builder().withTransport(socket.transport()).build();
     assertThrows(CompletionException.class, () -> serve(0));
   }
 
   @Test
-  public void testSettingsWithoutAddressAreLeftToTheWholeReading() throws IOException {
+  public void testSettingsWithoutAddressOpenNoSocket() throws IOException {
     Files.writeString(settings, "{\"name\":\"x\"}");
-    assertTrue(EarlySocket.open(settings).isEmpty());
+    assertTrue(PreboundSocket.open(settings).isEmpty());
     Files.writeString(settings, "no settings");
-    assertTrue(EarlySocket.open(settings).isEmpty());
+    assertTrue(PreboundSocket.open(settings).isEmpty());
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/entry/package-info.java
+++ b/org.oatlug.test/tst/org/oatlug/entry/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of what the package of the daemon keeps to itself. */
+/** Tests of the package-private classes of the daemon. */
 package org.oatlug.entry;
--- a/org.oatlug/src/org/oatlug/config/Cascade.java
+++ b/org.oatlug/src/org/oatlug/config/Cascade.java
@@ -9,7 +9,7 @@
  * A list of models, ordered from the cheapest to the most capable. Immutable.
  *
  * @param stages the names of the models, cheapest first
- * @param safeStage the index of the stage that is used in the absence of ratings, from 0
+ * @param safeStage the index, from 0, of the stage that is used without a quality estimate
  * @param qualityTarget the required share of responses with a sufficient rating, between 0 and 1
  */
 public record Cascade(List<String> stages, int safeStage, double qualityTarget) {}
--- a/org.oatlug/src/org/oatlug/config/GatewaySettingsReader.java
+++ b/org.oatlug/src/org/oatlug/config/GatewaySettingsReader.java
@@ -24,7 +24,8 @@
   /**
    * Reads settings.
    *
-   * @throws IllegalArgumentException if a field is missing or invalid; the message has its path and value
+   * @throws IllegalArgumentException if a field is missing or invalid; the message has its path and
+   *     value
    */
   static GatewaySettings read(JsonNode tree) {
     return new GatewaySettings(
@@ -100,7 +101,8 @@
     }
   }
 
-  private static IllegalArgumentException invalidField(String field, JsonNode value, String expected) {
+  private static IllegalArgumentException invalidField(
+      String field, JsonNode value, String expected) {
     boolean missing = value.isMissingNode() || value.isNull();
     String actual = missing ? "missing" : value.toString();
     return new IllegalArgumentException(field + " is " + actual + ", not " + expected);
--- a/org.oatlug/src/org/oatlug/config/Publisher.java
+++ b/org.oatlug/src/org/oatlug/config/Publisher.java
@@ -60,10 +60,7 @@
    * if it is not known whether the write took effect.
    */
   public Uni<Published> publish(ObjectKey key, JsonNode content) {
-    return platform
-        .get(key)
-        .onItem()
-        .transformToUni(current -> publishOver(key, current, content));
+    return platform.get(key).onItem().transformToUni(current -> publishOver(key, current, content));
   }
 
   /** Publishes content on top of the revision that the caller read. */
@@ -109,7 +106,8 @@
               if (storedId.equals(publishId)) {
                 return Uni.createFrom().item(stored.get().revision());
               }
-              StoreRevision storedRevision = stored.map(StoredObject::revision).orElse(StoreRevision.NONE);
+              StoreRevision storedRevision =
+                  stored.map(StoredObject::revision).orElse(StoreRevision.NONE);
               if (!storedRevision.equals(expected)) {
                 return Uni.createFrom().failure(new ConflictException(key, expected, stored));
               }
@@ -121,7 +119,8 @@
     return Kinds.withoutPublishId(current).equals(Kinds.withoutPublishId(content));
   }
 
-  private static void checkTransition(ObjectKey key, Optional<StoredObject> current, JsonNode content)
+  private static void checkTransition(
+      ObjectKey key, Optional<StoredObject> current, JsonNode content)
       throws ConfigurationInvalidException {
     if (!key.kind().equals(Kinds.VERSION) || current.isEmpty()) {
       return;
@@ -132,7 +131,8 @@
     }
     String withdrawn = VersionState.WITHDRAWN.name().toLowerCase(java.util.Locale.ROOT);
     boolean wasWithdrawn = oldContent.path("state").asText().equals(withdrawn);
-    boolean remainsUnusable = content.path("state").asText().equals(withdrawn) || Kinds.isTombstone(content);
+    boolean remainsUnusable =
+        content.path("state").asText().equals(withdrawn) || Kinds.isTombstone(content);
     if (wasWithdrawn && !remainsUnusable) {
       throw new ConfigurationInvalidException(
           key + ".state", "a withdrawn version never comes back");
--- a/org.oatlug/src/org/oatlug/config/Settings.java
+++ b/org.oatlug/src/org/oatlug/config/Settings.java
@@ -119,8 +119,8 @@
    * @param openRequests the maximum number of concurrent requests
    * @param firstByteMillis the timeout for the first byte of a response
    * @param betweenBytesMillis the idle timeout within a response
-   * @param freshnessMillis the maximum age of the configuration for which candidates
-   *     receive new sessions
+   * @param freshnessMillis the maximum age of the configuration for which candidates receive new
+   *     sessions
    * @param drainMillis the time for which requests are still accepted after a shutdown begins
    */
   public record Limits(
--- a/org.oatlug/src/org/oatlug/config/SettingsFile.java
+++ b/org.oatlug/src/org/oatlug/config/SettingsFile.java
@@ -43,8 +43,8 @@
   /**
    * Reads the settings of an instance that serves routed services.
    *
-   * <p>Missing and invalid fields are rejected as they are read. Only {@link #checkGateway} uses the
-   * schema, because loading it takes longer than the rest of a start.
+   * <p>Missing and invalid fields are rejected as they are read. Only {@link #checkGateway} uses
+   * the schema, because loading it takes longer than the rest of a start.
    *
    * @throws SettingsInvalidException if it cannot be read or a field is invalid
    */
@@ -78,7 +78,10 @@
   private static JsonNode readValidTree(Path file, String schema) throws SettingsInvalidException {
     JsonNode tree = readTree(file);
     List<String> problems =
-        loadSchema(schema).validate(tree).stream().map(ValidationMessage::getMessage).sorted().toList();
+        loadSchema(schema).validate(tree).stream()
+            .map(ValidationMessage::getMessage)
+            .sorted()
+            .toList();
     if (!problems.isEmpty()) {
       throw new SettingsInvalidException(problems);
     }
--- a/org.oatlug/src/org/oatlug/config/Upstream.java
+++ b/org.oatlug/src/org/oatlug/config/Upstream.java
@@ -16,7 +16,7 @@
  * @param serves the versions that an engine serves or the application of a service
  * @param slots the maximum number of concurrent requests
  * @param trustedRefusals whether a refusal guarantees that the request did not run
- * @param leaving whether it drains before it shuts down
+ * @param leaving whether it is draining before a shutdown
  */
 public record Upstream(
     Kind kind,
--- a/org.oatlug/src/org/oatlug/errors/ConflictException.java
+++ b/org.oatlug/src/org/oatlug/errors/ConflictException.java
@@ -3,7 +3,7 @@
 
 package org.oatlug.errors;
 
-/** Signals a conditional write without effect because of another revision. Immutable. */
+/** Signals a conditional write without effect because the revision differs. Immutable. */
 public final class ConflictException extends OatlugException {
   private static final long serialVersionUID = 1L;
 
