--- a/org.oatlug.entry/src/org/oatlug/entry/EntryInstance.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/EntryInstance.java
@@ -83,8 +83,8 @@
             settings.name(),
             settings.zone(),
             settings.rack(),
-            settings.peers().reachedAt().host(),
-            settings.peers().reachedAt().port(),
+            settings.peers().advertisedAddress().host(),
+            settings.peers().advertisedAddress().port(),
             clock.instant().toEpochMilli(),
             0,
             Member.State.ALIVE);
--- a/org.oatlug/src/org/oatlug/config/Settings.java
+++ b/org.oatlug/src/org/oatlug/config/Settings.java
@@ -80,7 +80,7 @@
       Optional<Address> advertised,
       Optional<Tls> tls) {
     /** Returns the address that other instances connect to. */
-    public Address reachedAt() {
+    public Address advertisedAddress() {
       return advertised.orElse(new Address(host, port));
     }
 
