--- a/org.oatlug.pgm/src/org/oatlug/pgm/ApplyCommand.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/ApplyCommand.java
@@ -15,7 +15,7 @@
 import org.oatlug.errors.ConfigurationInvalidException;
 import org.oatlug.errors.OatlugException;
 
-/** Publishes the objects of a file. Stateless. */
+/** Publishes all objects of a file, in the order of their kinds. Stateless. */
 final class ApplyCommand implements Command {
 
   @Override
@@ -44,25 +44,25 @@
   }
 
   @Override
-  public ExitCode call(CommandLine line, List<String> arguments, Session session)
+  public ExitCode call(CommandLine line, List<String> arguments, CommandSession session)
       throws OatlugException {
-    DeploymentFile file = CheckCommand.readChecked(Path.of(CheckCommand.fileOf(line)));
-    Publishing publishing = Publishing.of(line, session);
+    DeploymentFile file = CheckCommand.readValid(Path.of(CheckCommand.fileOf(line)));
+    ObjectPublisher publisher = ObjectPublisher.of(line, session);
     for (String kind : Kinds.ALL) {
       for (Map.Entry<ObjectKey, JsonNode> entry : file.objects().entrySet()) {
         if (entry.getKey().kind().equals(kind)) {
-          publishOne(publishing, entry.getKey(), entry.getValue());
+          publishObject(publisher, entry.getKey(), entry.getValue());
         }
       }
     }
-    return publishing.result();
+    return publisher.result();
   }
 
-  private static void publishOne(Publishing publishing, ObjectKey key, JsonNode spec)
+  private static void publishObject(ObjectPublisher publisher, ObjectKey key, JsonNode spec)
       throws OatlugException {
     if (!spec.isObject()) {
       throw new ConfigurationInvalidException(key.toString(), "is no object");
     }
-    publishing.publish(key, spec);
+    publisher.publish(key, spec);
   }
 }
--- a/org.oatlug.pgm/src/org/oatlug/pgm/BillsCommand.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/BillsCommand.java
@@ -15,7 +15,7 @@
 import org.oatlug.internal.ledger.LedgerReader;
 import org.oatlug.internal.util.Json;
 
-/** Sums up the bills in the ledger. Stateless. */
+/** Aggregates the bills in the ledger by workspace and version. Stateless. */
 final class BillsCommand implements Command {
   private static final String DEFAULT_SHARDS = "3";
 
@@ -45,27 +45,27 @@
   }
 
   @Override
-  public ExitCode call(CommandLine line, List<String> arguments, Session session)
+  public ExitCode call(CommandLine line, List<String> arguments, CommandSession session)
       throws OatlugException {
     List<Bill> bills = session.await(LedgerReader.of(session.platform()).bills(shardsOf(line)));
-    Map<String, long[]> sums = new TreeMap<>();
+    Map<String, long[]> totalsByGroup = new TreeMap<>();
     for (Bill bill : bills) {
-      String subject = bill.workspace() + "\t" + bill.version();
-      long[] sum = sums.computeIfAbsent(subject, unused -> new long[3]);
-      sum[0]++;
-      sum[1] += bill.promptTokens() + bill.answerTokens();
-      sum[2] += bill.cost();
+      String group = bill.workspace() + "\t" + bill.version();
+      long[] totals = totalsByGroup.computeIfAbsent(group, unused -> new long[3]);
+      totals[0]++;
+      totals[1] += bill.promptTokens() + bill.answerTokens();
+      totals[2] += bill.cost();
     }
     TextTable table = TextTable.titled("WORKSPACE", "VERSION", "REQUESTS", "TOKENS", "COST");
-    sums.forEach(
-        (subject, sum) -> {
-          String[] names = subject.split("\t");
+    totalsByGroup.forEach(
+        (group, totals) -> {
+          String[] names = group.split("\t");
           table.add(
               names[0],
               names[1],
-              Long.toString(sum[0]),
-              Long.toString(sum[1]),
-              Long.toString(sum[2]));
+              Long.toString(totals[0]),
+              Long.toString(totals[1]),
+              Long.toString(totals[2]));
         });
     JsonNode value = Json.STRICT.valueToTree(bills);
     session.print(value, table);
--- a/org.oatlug.pgm/src/org/oatlug/pgm/CheckCommand.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/CheckCommand.java
@@ -12,7 +12,7 @@
 import org.oatlug.errors.OatlugException;
 import org.oatlug.errors.UsageException;
 
-/** Checks a file without any connection: types, references and policies. Stateless. */
+/** Validates a file offline: types, references and policies. Stateless. */
 final class CheckCommand implements Command {
 
   @Override
@@ -41,9 +41,9 @@
   }
 
   @Override
-  public ExitCode call(CommandLine line, List<String> arguments, Session session)
+  public ExitCode call(CommandLine line, List<String> arguments, CommandSession session)
       throws OatlugException {
-    DeploymentFile file = readChecked(Path.of(fileOf(line)));
+    DeploymentFile file = readValid(Path.of(fileOf(line)));
     session.print(file.objects().size() + " objects are good");
     return ExitCode.OK;
   }
@@ -56,7 +56,7 @@
     return file;
   }
 
-  static DeploymentFile readChecked(Path path) throws OatlugException {
+  static DeploymentFile readValid(Path path) throws OatlugException {
     DeploymentFile file = DeploymentFile.read(path);
     List<String> problems = file.problems();
     if (!problems.isEmpty()) {
--- a/org.oatlug.pgm/src/org/oatlug/pgm/Command.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/Command.java
@@ -8,28 +8,30 @@
 import org.apache.commons.cli.Options;
 import org.oatlug.errors.OatlugException;
 
-/** One command of the command line. Implementations keep no state between calls. */
+/** A command of the command line. Implementations keep no state between calls. */
 interface Command {
 
-  /** Returns the name by which it is called. */
+  /** Returns the name by which the command is called. */
   String name();
 
   /** Returns the arguments after the name, for the usage text. */
   String arguments();
 
-  /** Returns one line that says what it does. */
+  /** Returns a one-line description of the command. */
   String summary();
 
   /** Returns an example call. */
   String example();
 
-  /** Adds its own options. */
+  /** Adds the options that only this command has. */
   default void addOptions(Options options) {}
 
   /**
    * Runs the command.
    *
-   * @throws OatlugException for every failure that has a type
+   * @throws OatlugException if the command fails; the type of the exception determines the exit
+   *     code
    */
-  ExitCode call(CommandLine line, List<String> arguments, Session session) throws OatlugException;
+  ExitCode call(CommandLine line, List<String> arguments, CommandSession session)
+      throws OatlugException;
 }
--- a/org.oatlug.pgm/src/org/oatlug/pgm/CommandCatalogue.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/CommandCatalogue.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** All commands, in the order of the help text. Immutable, thread-safe. */
+/** Registry of all commands, in the order of the help text. Immutable, thread-safe. */
 final class CommandCatalogue {
   private static final List<Command> COMMANDS =
       List.of(
--- a/org.oatlug.pgm/src/org/oatlug/pgm/Session.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/CommandSession.java
@@ -24,10 +24,10 @@
 import org.oatlug.internal.util.Unis;
 import org.oatlug.platform.Platform;
 
-/** The connections and the output of one call of the command line. Used from one thread. */
-final class Session implements AutoCloseable {
-  private static final Duration PATIENCE = Duration.ofSeconds(20);
-  private static final long REQUEST_MILLIS = 5000;
+/** Connections and output of a single call of the command line. Used from one thread. */
+final class CommandSession implements AutoCloseable {
+  private static final Duration AWAIT_TIMEOUT = Duration.ofSeconds(20);
+  private static final long REQUEST_TIMEOUT_MILLIS = 5000;
 
   private Optional<Vertx> vertx = Optional.empty();
   private final Optional<Settings.Address> platform;
@@ -35,7 +35,7 @@
   private final boolean json;
   private final PrintStream out;
 
-  private Session(
+  private CommandSession(
       Optional<Settings.Address> platform,
       Optional<Settings.Address> instance,
       boolean json,
@@ -46,15 +46,15 @@
     this.out = out;
   }
 
-  static Session open(
+  static CommandSession open(
       Optional<Settings.Address> platform,
       Optional<Settings.Address> instance,
       boolean json,
       PrintStream out) {
-    return new Session(platform, instance, json, out);
+    return new CommandSession(platform, instance, json, out);
   }
 
-  /** Returns the runtime, started on first use, because a check without connection needs none. */
+  /** Returns the runtime, which starts on first use because offline commands do not need it. */
   private Vertx vertx() {
     if (vertx.isEmpty()) {
       FileSystemOptions files =
@@ -65,31 +65,35 @@
     return vertx.get();
   }
 
-  /** Returns the platform that the caller named. */
+  /**
+   * Returns the platform that the command line names.
+   *
+   * @throws UsageException if the command line names none
+   */
   Platform platform() throws UsageException {
     Settings.Address address =
         platform.orElseThrow(() -> new UsageException("--platform HOST:PORT is missing"));
     return HttpPlatform.create(vertx(), address);
   }
 
-  /** Returns the answer of the instance's operator port. */
-  JsonNode askInstance(String path, String... parameters) throws OatlugException {
-    return callInstance(HttpMethod.GET, path, parameters);
+  /** Sends a GET to the instance's operator port and returns the response. */
+  JsonNode getFromInstance(String path, String... parameters) throws OatlugException {
+    return sendToInstance(HttpMethod.GET, path, parameters);
   }
 
-  /** Has the instance's operator port do something; returns its answer. */
-  JsonNode tellInstance(String path, String... parameters) throws OatlugException {
-    return callInstance(HttpMethod.PUT, path, parameters);
+  /** Sends a PUT to the instance's operator port and returns the response. */
+  JsonNode putToInstance(String path, String... parameters) throws OatlugException {
+    return sendToInstance(HttpMethod.PUT, path, parameters);
   }
 
-  private JsonNode callInstance(HttpMethod method, String path, String... parameters)
+  private JsonNode sendToInstance(HttpMethod method, String path, String... parameters)
       throws OatlugException {
     Settings.Address address =
         instance.orElseThrow(() -> new UsageException("--instance HOST:PORT is missing"));
     HttpRequest<io.vertx.core.buffer.Buffer> request =
         WebClient.create(vertx())
             .request(method, address.port(), address.host(), path)
-            .timeout(REQUEST_MILLIS);
+            .timeout(REQUEST_TIMEOUT_MILLIS);
     for (int index = 0; index < parameters.length; index += 2) {
       request.addQueryParam(parameters[index], parameters[index + 1]);
     }
@@ -106,10 +110,14 @@
     }
   }
 
-  /** Waits for the item. */
+  /**
+   * Blocks until the item is available.
+   *
+   * @throws OatlugException if the operation fails or does not complete within the timeout
+   */
   <T> T await(Uni<T> uni) throws OatlugException {
     try {
-      return uni.await().atMost(PATIENCE);
+      return uni.await().atMost(AWAIT_TIMEOUT);
     } catch (RuntimeException e) {
       Throwable cause = e.getCause() == null ? e : e.getCause();
       if (cause instanceof OatlugException known) {
@@ -128,7 +136,7 @@
     out.println(line);
   }
 
-  /** Prints a value as JSON for programs, or the table for people. */
+  /** Prints the value as JSON if {@code --output json} was given, else the table. */
   void print(JsonNode value, TextTable table) {
     out.println(json ? value.toPrettyString() : table.toString());
   }
--- a/org.oatlug.pgm/src/org/oatlug/pgm/ExitCode.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/ExitCode.java
@@ -3,7 +3,7 @@
 
 package org.oatlug.pgm;
 
-/** The exit codes of {@code oatlug}. Immutable. */
+/** Exit codes of the {@code oatlug} process. Immutable. */
 public enum ExitCode {
   OK(0),
   FAILED(1),
@@ -19,7 +19,7 @@
     this.number = number;
   }
 
-  /** Returns the number. */
+  /** Returns the exit status of the process. */
   public int number() {
     return number;
   }
--- a/org.oatlug.pgm/src/org/oatlug/pgm/ExplainCommand.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/ExplainCommand.java
@@ -11,9 +11,9 @@
 import org.oatlug.errors.OatlugException;
 import org.oatlug.errors.UsageException;
 
-/** Shows where a request would go and why nowhere else. Stateless. */
+/** Shows where a request would be routed and why each other candidate is excluded. Stateless. */
 final class ExplainCommand implements Command {
-  /** Where both of an instance's ports that explain are asked. */
+  /** Path on both the operator port and the metrics port of an instance. */
   private static final String EXPLAIN_PATH = "/explain";
 
   @Override
@@ -45,21 +45,21 @@
   }
 
   @Override
-  public ExitCode call(CommandLine line, List<String> arguments, Session session)
+  public ExitCode call(CommandLine line, List<String> arguments, CommandSession session)
       throws OatlugException {
     return line.hasOption("host")
         ? explainRoute(line, session)
         : explainModel(line, arguments, session);
   }
 
-  /** Explains a request to the chat interface. */
-  private ExitCode explainModel(CommandLine line, List<String> arguments, Session session)
+  /** Explains the routing of a request to the chat interface. */
+  private ExitCode explainModel(CommandLine line, List<String> arguments, CommandSession session)
       throws OatlugException {
     if (arguments.size() < 2) {
       throw new UsageException(arguments());
     }
     JsonNode decision =
-        session.askInstance(
+        session.getFromInstance(
             EXPLAIN_PATH,
             "workspace",
             arguments.get(0),
@@ -75,18 +75,18 @@
     } else {
       table.add(arguments.get(1), "refused: " + decision.path("refusal").asText());
     }
-    for (JsonNode passed : decision.path("passedOver")) {
-      table.add(passed.path("candidate").asText(), passed.path("reason").asText());
+    for (JsonNode rejected : decision.path("passedOver")) {
+      table.add(rejected.path("candidate").asText(), rejected.path("reason").asText());
     }
     session.print(decision, table);
     return ExitCode.OK;
   }
 
-  /** Explains a request to a routed service. */
-  private ExitCode explainRoute(CommandLine line, Session session) throws OatlugException {
+  /** Explains the routing of a request to a routed service. */
+  private ExitCode explainRoute(CommandLine line, CommandSession session) throws OatlugException {
     String[] tokens = (line.getOptionValue("tokens", "0,0") + ",0").split(",");
-    JsonNode found =
-        session.askInstance(
+    JsonNode explanation =
+        session.getFromInstance(
             EXPLAIN_PATH,
             "host",
             line.getOptionValue("host"),
@@ -97,22 +97,22 @@
             "made",
             tokens[1]);
     TextTable table = TextTable.titled("ROUTE", "SERVICE", "CANDIDATE", "RESULT");
-    String route = found.path("route").asText("none");
-    for (JsonNode target : found.path("targets")) {
+    String route = explanation.path("route").asText("none");
+    for (JsonNode target : explanation.path("targets")) {
       String service = target.path("service").asText();
       for (JsonNode stage : target.path("stages")) {
         String taken = "taken from confidence " + stage.path("leastConfidence").asInt();
         table.add(route, service, "model " + stage.path("model").asText(), taken);
       }
       for (JsonNode upstream : target.path("upstreams")) {
-        table.add(route, service, candidate(upstream), result(upstream));
+        table.add(route, service, candidateOf(upstream), resultOf(upstream));
       }
     }
-    session.print(found, table);
+    session.print(explanation, table);
     return ExitCode.OK;
   }
 
-  private static String candidate(JsonNode upstream) {
+  private static String candidateOf(JsonNode upstream) {
     return "%s %s %s"
         .formatted(
             upstream.path("name").asText(),
@@ -120,14 +120,14 @@
             upstream.path("version").asText());
   }
 
-  private static String result(JsonNode upstream) {
+  private static String resultOf(JsonNode upstream) {
     String load = ", load " + upstream.path("load").asInt();
     JsonNode cost = upstream.path("costMillis");
-    return (cost.isNumber() ? "costs " + cost.asLong() + " ms" : out(upstream)) + load;
+    return (cost.isNumber() ? "costs " + cost.asLong() + " ms" : exclusionOf(upstream)) + load;
   }
 
-  /** Returns why an upstream gets nothing. */
-  private static String out(JsonNode upstream) {
+  /** Returns the reason why an upstream is excluded. */
+  private static String exclusionOf(JsonNode upstream) {
     JsonNode reason = upstream.path("out");
     return reason.isTextual() ? "out, " + reason.asText().toLowerCase(Locale.ROOT) : "out";
   }
--- a/org.oatlug.pgm/src/org/oatlug/pgm/GetCommand.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/GetCommand.java
@@ -12,7 +12,7 @@
 import org.oatlug.internal.util.Json;
 import org.oatlug.platform.StoredObject;
 
-/** Shows published objects. Stateless. */
+/** Shows the published objects of a kind. Stateless. */
 final class GetCommand implements Command {
 
   @Override
@@ -36,7 +36,7 @@
   }
 
   @Override
-  public ExitCode call(CommandLine line, List<String> arguments, Session session)
+  public ExitCode call(CommandLine line, List<String> arguments, CommandSession session)
       throws OatlugException {
     if (arguments.isEmpty() || !Kinds.ALL.contains(arguments.get(0))) {
       throw new UsageException("the kind is one of " + Kinds.ALL);
@@ -46,8 +46,8 @@
     List<String> kinds = List.of(arguments.get(0));
     for (StoredObject object : session.await(session.platform().list(kinds)).objects()) {
       String name = object.key().name();
-      boolean wanted = arguments.size() < 2 || arguments.get(1).equals(name);
-      if (wanted) {
+      boolean matches = arguments.size() < 2 || arguments.get(1).equals(name);
+      if (matches) {
         array.add(Json.STRICT.valueToTree(object));
         String version = object.revision().toString();
         table.add(name, version, Kinds.withoutPublishId(object.value()).toString());
--- a/org.oatlug.pgm/src/org/oatlug/pgm/LetRunCommand.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/LetRunCommand.java
@@ -9,7 +9,7 @@
 import org.oatlug.errors.OatlugException;
 import org.oatlug.errors.UsageException;
 
-/** Lets a request run again that is held because upstreams ended under it. Stateless. */
+/** Releases a request that is held because upstreams crashed while they ran it. Stateless. */
 final class LetRunCommand implements Command {
   @Override
   public String name() {
@@ -32,15 +32,15 @@
   }
 
   @Override
-  public ExitCode call(CommandLine line, List<String> arguments, Session session)
+  public ExitCode call(CommandLine line, List<String> arguments, CommandSession session)
       throws OatlugException {
     if (arguments.isEmpty()) {
       throw new UsageException(arguments());
     }
-    JsonNode answer = session.tellInstance("/let-run", "request", arguments.get(0));
-    boolean forgotten = answer.path("forgotten").asBoolean();
-    String what = forgotten ? " runs again" : " is not held";
-    session.print("request " + arguments.get(0) + what);
+    JsonNode response = session.putToInstance("/let-run", "request", arguments.get(0));
+    boolean forgotten = response.path("forgotten").asBoolean();
+    String effect = forgotten ? " runs again" : " is not held";
+    session.print("request " + arguments.get(0) + effect);
     return ExitCode.OK;
   }
 }
--- a/org.oatlug.pgm/src/org/oatlug/pgm/Oatlug.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/Oatlug.java
@@ -19,7 +19,7 @@
 import org.oatlug.errors.PlatformUnavailableException;
 import org.oatlug.errors.UsageException;
 
-/** The operators' command line. Stateless. */
+/** Entry point of the operators' command line. Stateless. */
 public final class Oatlug {
   private static final String PLATFORM_VARIABLE = "OATLUG_PLATFORM";
   private static final String INSTANCE_VARIABLE = "OATLUG_INSTANCE";
@@ -32,7 +32,7 @@
     System.exit(run(arguments, System.out, System.err).number());
   }
 
-  /** Runs a command. */
+  /** Runs a command and returns its exit code. */
   public static ExitCode run(String[] arguments, PrintStream out, PrintStream err) {
     if (arguments.length == 0 || arguments[0].equals("--" + HELP)) {
       out.println(usage());
@@ -54,7 +54,7 @@
         out.println(usageOf(command));
         return ExitCode.OK;
       }
-      try (Session session = sessionOf(line, out)) {
+      try (CommandSession session = sessionOf(line, out)) {
         return command.call(line, line.getArgList(), session);
       }
     } catch (ParseException e) {
@@ -88,18 +88,18 @@
     options.addOption(null, "platform", true, "HOST:PORT of the platform's object API");
     options.addOption(null, "instance", true, "HOST:PORT of an instance's operator port");
     options.addOption(null, "output", true, "text or json");
-    options.addOption(null, Publishing.WAIT, false, "wait until in force everywhere");
+    options.addOption(null, ObjectPublisher.WAIT, false, "wait until in force everywhere");
     options.addOption(null, HELP, false, "show the usage");
     command.addOptions(options);
     return options;
   }
 
-  private static Session sessionOf(CommandLine line, PrintStream out) throws UsageException {
+  private static CommandSession sessionOf(CommandLine line, PrintStream out) throws UsageException {
     String output = line.getOptionValue("output", "text");
     if (!List.of("text", "json").contains(output)) {
       throw new UsageException("--output is text or json");
     }
-    return Session.open(
+    return CommandSession.open(
         address(line, "platform", PLATFORM_VARIABLE),
         address(line, "instance", INSTANCE_VARIABLE),
         output.equals("json"),
--- a/org.oatlug.pgm/src/org/oatlug/pgm/Publishing.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/ObjectPublisher.java
@@ -21,51 +21,58 @@
 import org.oatlug.platform.StoreRevision;
 import org.oatlug.platform.StoredObject;
 
-/** What the publishing commands have in common. Used from one thread. */
-final class Publishing {
+/**
+ * Publishes objects for a command, prints each result and, with {@code --wait}, waits until the
+ * object is in force at every live instance. Used from one thread.
+ */
+final class ObjectPublisher {
   static final String WAIT = "wait";
 
-  private static final Duration WAIT_PATIENCE = Duration.ofSeconds(15);
+  private static final Duration WAIT_TIMEOUT = Duration.ofSeconds(15);
   private static final long POLL_MILLIS = 100;
 
-  private final Session session;
+  private final CommandSession session;
   private final Platform platform;
   private final boolean wait;
   private ExitCode result = ExitCode.OK;
 
-  private Publishing(Session session, Platform platform, boolean wait) {
+  private ObjectPublisher(CommandSession session, Platform platform, boolean wait) {
     this.session = session;
     this.platform = platform;
     this.wait = wait;
   }
 
-  static Publishing of(CommandLine line, Session session) throws OatlugException {
-    return new Publishing(session, session.platform(), line.hasOption(WAIT));
+  static ObjectPublisher of(CommandLine line, CommandSession session) throws OatlugException {
+    return new ObjectPublisher(session, session.platform(), line.hasOption(WAIT));
   }
 
-  /** A change of content, given what stands now. */
+  /** Computes the new content of an object from its current content. */
   @FunctionalInterface
   interface Change {
-    JsonNode apply(ObjectNode standing) throws OatlugException;
+    JsonNode apply(ObjectNode existing) throws OatlugException;
   }
 
-  /** Publishes content over whatever stands now. */
+  /** Publishes content, whatever the current content of the object is. */
   void publish(ObjectKey key, JsonNode content) throws OatlugException {
     report(key, session.await(Publisher.to(platform).publish(key, content)));
   }
 
-  /** Changes the object that stands now. */
+  /**
+   * Applies a change to the current content of an object.
+   *
+   * @throws ConfigurationInvalidException if the object does not exist or was deleted
+   */
   void change(ObjectKey key, Change change) throws OatlugException {
-    Optional<StoredObject> standing = session.await(platform.get(key));
-    if (standing.isEmpty() || Kinds.isTombstone(standing.get().value())) {
+    Optional<StoredObject> existing = session.await(platform.get(key));
+    if (existing.isEmpty() || Kinds.isTombstone(existing.get().value())) {
       throw new ConfigurationInvalidException(key.toString(), "does not exist");
     }
-    ObjectNode copy = Kinds.withoutPublishId(standing.get().value()).deepCopy();
+    ObjectNode copy = Kinds.withoutPublishId(existing.get().value()).deepCopy();
     JsonNode content = change.apply(copy);
-    report(key, session.await(Publisher.to(platform).publishOver(key, standing, content)));
+    report(key, session.await(Publisher.to(platform).publishOver(key, existing, content)));
   }
 
-  /** Returns the names of the objects of a kind whose field has a value. */
+  /** Returns the names of the objects of a kind that have a state and a value in a field. */
   List<String> namesWhere(String kind, String field, String value, String state)
       throws OatlugException {
     List<String> names = new ArrayList<>();
@@ -78,6 +85,7 @@
     return names;
   }
 
+  /** Returns {@link ExitCode#NOT_IN_FORCE} if a wait timed out, else {@link ExitCode#OK}. */
   ExitCode result() {
     return result;
   }
@@ -98,12 +106,12 @@
     }
   }
 
-  private void awaitInForce(ObjectKey key, StoreRevision version) throws OatlugException {
-    long limit = System.nanoTime() + WAIT_PATIENCE.toNanos();
-    List<String> missing = missing(key, version);
-    while (!missing.isEmpty() && System.nanoTime() < limit) {
-      pause();
-      missing = missing(key, version);
+  private void awaitInForce(ObjectKey key, StoreRevision publishedRevision) throws OatlugException {
+    long deadlineNanos = System.nanoTime() + WAIT_TIMEOUT.toNanos();
+    List<String> missing = instancesNotInForce(key, publishedRevision);
+    while (!missing.isEmpty() && System.nanoTime() < deadlineNanos) {
+      sleepUntilNextPoll();
+      missing = instancesNotInForce(key, publishedRevision);
     }
     if (missing.isEmpty()) {
       session.print(key + " is in force at every live instance");
@@ -113,19 +121,22 @@
     result = ExitCode.NOT_IN_FORCE;
   }
 
-  private List<String> missing(ObjectKey key, StoreRevision version) throws OatlugException {
-    JsonNode answer = session.askInstance("/in-force", "kind", key.kind(), "name", key.name());
+  /** Returns the instances that have not confirmed this revision. */
+  private List<String> instancesNotInForce(ObjectKey key, StoreRevision publishedRevision)
+      throws OatlugException {
+    JsonNode response =
+        session.getFromInstance("/in-force", "kind", key.kind(), "name", key.name());
     List<String> names = new ArrayList<>();
-    for (Map.Entry<String, JsonNode> entry : answer.path("instances").properties()) {
+    for (Map.Entry<String, JsonNode> entry : response.path("instances").properties()) {
       StoreRevision inForce = Json.STRICT.convertValue(entry.getValue(), StoreRevision.class);
-      if (version.isAfter(inForce)) {
+      if (publishedRevision.isAfter(inForce)) {
         names.add(entry.getKey());
       }
     }
     return names;
   }
 
-  private static void pause() {
+  private static void sleepUntilNextPoll() {
     try {
       Thread.sleep(POLL_MILLIS);
     } catch (InterruptedException e) {
--- a/org.oatlug.pgm/src/org/oatlug/pgm/PolicyCommand.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/PolicyCommand.java
@@ -18,7 +18,7 @@
 
 /** Publishes a policy program. Stateless. */
 final class PolicyCommand implements Command {
-  private static final int COMPLETE = 3;
+  private static final int MINIMUM_ARGUMENTS = 3;
 
   @Override
   public String name() {
@@ -44,19 +44,19 @@
   public void addOptions(Options options) {}
 
   @Override
-  public ExitCode call(CommandLine line, List<String> arguments, Session session)
+  public ExitCode call(CommandLine line, List<String> arguments, CommandSession session)
       throws OatlugException {
-    if (arguments.size() < COMPLETE || !arguments.get(0).equals("publish")) {
+    if (arguments.size() < MINIMUM_ARGUMENTS || !arguments.get(0).equals("publish")) {
       throw new UsageException(arguments());
     }
     ObjectNode content = Json.STRICT.createObjectNode();
-    content.put("program", read(Path.of(arguments.get(2))));
-    Publishing publishing = Publishing.of(line, session);
-    publishing.publish(ObjectKey.valueOf(Kinds.POLICY, arguments.get(1)), content);
-    return publishing.result();
+    content.put("program", readProgram(Path.of(arguments.get(2))));
+    ObjectPublisher publisher = ObjectPublisher.of(line, session);
+    publisher.publish(ObjectKey.valueOf(Kinds.POLICY, arguments.get(1)), content);
+    return publisher.result();
   }
 
-  private static String read(Path file) throws UsageException {
+  private static String readProgram(Path file) throws UsageException {
     try {
       return Files.readString(file);
     } catch (IOException e) {
--- a/org.oatlug.pgm/src/org/oatlug/pgm/RolloutCommand.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/RolloutCommand.java
@@ -50,7 +50,7 @@
   }
 
   @Override
-  public ExitCode call(CommandLine line, List<String> arguments, Session session)
+  public ExitCode call(CommandLine line, List<String> arguments, CommandSession session)
       throws OatlugException {
     if (arguments.equals(List.of("status"))) {
       return status(session);
@@ -58,15 +58,15 @@
     if (arguments.size() < 2) {
       throw new UsageException(arguments());
     }
-    Publishing publishing = Publishing.of(line, session);
+    ObjectPublisher publisher = ObjectPublisher.of(line, session);
     ObjectKey key = ObjectKey.valueOf(Kinds.ROLLOUT, arguments.get(1));
     switch (arguments.get(0)) {
-      case "start" -> publishing.publish(key, contentOf(line));
-      case "halt" -> publishing.change(key, standing -> standing.put(STATE, "halted"));
-      case "finish" -> publishing.change(key, standing -> standing.put(STATE, "finished"));
+      case "start" -> publisher.publish(key, contentOf(line));
+      case "halt" -> publisher.change(key, existing -> existing.put(STATE, "halted"));
+      case "finish" -> publisher.change(key, existing -> existing.put(STATE, "finished"));
       default -> throw new UsageException(arguments());
     }
-    return publishing.result();
+    return publisher.result();
   }
 
   private static ObjectNode contentOf(CommandLine line) throws UsageException {
@@ -83,7 +83,7 @@
     return content;
   }
 
-  private static ExitCode status(Session session) throws OatlugException {
+  private static ExitCode status(CommandSession session) throws OatlugException {
     ArrayNode array = Json.STRICT.createArrayNode();
     TextTable table = TextTable.titled("NAME", "MODEL", "CANDIDATE", "WEIGHT", "STATE");
     List<String> kinds = List.of(Kinds.ROLLOUT);
--- a/org.oatlug.pgm/src/org/oatlug/pgm/StatusCommand.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/StatusCommand.java
@@ -10,7 +10,7 @@
 import org.apache.commons.cli.CommandLine;
 import org.oatlug.errors.OatlugException;
 
-/** Shows an instance and what it knows of its neighbours. Stateless. */
+/** Shows the state of an instance and its view of peers, store and upstreams. Stateless. */
 final class StatusCommand implements Command {
   private static final double PERCENT = 100;
   private static final double MILLIS_PER_SECOND = 1000;
@@ -36,15 +36,15 @@
   }
 
   @Override
-  public ExitCode call(CommandLine line, List<String> arguments, Session session)
+  public ExitCode call(CommandLine line, List<String> arguments, CommandSession session)
       throws OatlugException {
-    JsonNode status = session.askInstance("/status");
+    JsonNode status = session.getFromInstance("/status");
     TextTable table = TextTable.titled("WHAT", "NAME", "STATE");
     String ready = status.path("ready").asBoolean() ? "ready" : "not ready";
     table.add("this", status.path("name").asText(), ready);
-    for (JsonNode one : status.path("instances")) {
-      String state = one.path("state").asText() + " in " + one.path("zone").asText();
-      table.add("instance", one.path("name").asText(), state);
+    for (JsonNode instance : status.path("instances")) {
+      String state = instance.path("state").asText() + " in " + instance.path("zone").asText();
+      table.add("instance", instance.path("name").asText(), state);
     }
     if (status.path("store").path("epoch").asLong() > 0) {
       table.add("store", "epoch " + status.path("store").path("epoch"), storeState(status));
@@ -52,31 +52,38 @@
     for (JsonNode zone : status.path("emptiedZones")) {
       table.add("zone", zone.asText(), "emptied, its upstreams get nothing");
     }
-    for (JsonNode one : status.path("rollouts")) {
-      table.add("roll-out", one.path("service").asText(), rolloutState(one));
+    for (JsonNode rolloutStatus : status.path("rollouts")) {
+      table.add("roll-out", rolloutStatus.path("service").asText(), rolloutState(rolloutStatus));
     }
-    for (JsonNode one : status.path("heldRequests")) {
-      table.add("request", one.path("fingerprint").asText(), heldState(one));
+    for (JsonNode request : status.path("heldRequests")) {
+      table.add("request", request.path("fingerprint").asText(), heldRequestState(request));
     }
-    for (JsonNode one : status.path("upstreams")) {
-      String marks =
-          (one.path("leaving").asBoolean() ? ", leaving" : "")
-              + (one.path("cold").asBoolean() ? ", cold" : "")
-              + (one.path("limit").isObject() ? limitState(one.path("limit")) : "")
-              + (one.path("restsMillis").asLong() > 0 ? restState(one) : "")
-              + (one.path("keptOut").asBoolean() ? ", kept out" : "");
-      String state = "load " + one.path("expectedLoad").asText() + marks;
-      table.add("upstream", one.path("name").asText(), state);
+    for (JsonNode upstreamStatus : status.path("upstreams")) {
+      String conditions =
+          (upstreamStatus.path("leaving").asBoolean() ? ", leaving" : "")
+              + (upstreamStatus.path("cold").asBoolean() ? ", cold" : "")
+              + (upstreamStatus.path("limit").isObject()
+                  ? limitState(upstreamStatus.path("limit"))
+                  : "")
+              + (upstreamStatus.path("restsMillis").asLong() > 0
+                  ? backOffState(upstreamStatus)
+                  : "")
+              + (upstreamStatus.path("keptOut").asBoolean() ? ", kept out" : "");
+      String state = "load " + upstreamStatus.path("expectedLoad").asText() + conditions;
+      table.add("upstream", upstreamStatus.path("name").asText(), state);
     }
     session.print(status, table);
     return ExitCode.OK;
   }
 
-  /** Returns since when the store's epoch is known, and what counts although it shows otherwise. */
+  /**
+   * Returns how long the store's epoch has been known, which kinds are retained although the store
+   * shows otherwise, and how many objects of earlier epochs it has not listed since.
+   */
   private static String storeState(JsonNode status) {
     JsonNode store = status.path("store");
     List<String> retained = new ArrayList<>();
-    store.path("retained").forEach(one -> retained.add(one.asText()));
+    store.path("retained").forEach(kind -> retained.add(kind.asText()));
     return String.format(
         Locale.ROOT,
         "known for %.1f s, retained: %s, awaited: %d",
@@ -93,23 +100,23 @@
         limit.path("ageMillis").asLong() / MILLIS_PER_SECOND);
   }
 
-  private static String restState(JsonNode upstream) {
+  private static String backOffState(JsonNode upstream) {
     double seconds = upstream.path("restsMillis").asLong() / MILLIS_PER_SECOND;
     return String.format(Locale.ROOT, ", rests for %.1f s", seconds);
   }
 
-  /** Returns why a request runs alone or not at all, and for how long. */
-  private static String heldState(JsonNode held) {
+  /** Returns why a request runs isolated or is refused, and for how long. */
+  private static String heldRequestState(JsonNode heldRequest) {
     return String.format(
         Locale.ROOT,
         "%s of %s, %d upstreams ended under it, for %.0f s",
-        held.path("verdict").asText().toLowerCase(Locale.ROOT),
-        held.path("subject").asText(),
-        held.path("ended").size(),
-        held.path("lapsesMillis").asLong() / MILLIS_PER_SECOND);
+        heldRequest.path("verdict").asText().toLowerCase(Locale.ROOT),
+        heldRequest.path("subject").asText(),
+        heldRequest.path("ended").size(),
+        heldRequest.path("lapsesMillis").asLong() / MILLIS_PER_SECOND);
   }
 
-  /** Returns how far a roll-out has come at this instance, in hundredths. */
+  /** Returns the progress of a roll-out at this instance, in percent. */
   private static String rolloutState(JsonNode rollout) {
     return String.format(
         Locale.ROOT,
--- a/org.oatlug.pgm/src/org/oatlug/pgm/TextTable.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/TextTable.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A table for people, its columns aligned. Used from one thread. */
+/** Plain-text table with aligned columns. Used from one thread. */
 final class TextTable {
   private static final String GAP = "  ";
 
--- a/org.oatlug.pgm/src/org/oatlug/pgm/VersionCommand.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/VersionCommand.java
@@ -15,10 +15,10 @@
 import org.oatlug.errors.UsageException;
 import org.oatlug.internal.util.Json;
 
-/** Adds a version or moves it on in its life. Stateless. */
+/** Adds a version or changes its state. Stateless. */
 final class VersionCommand implements Command {
   private static final String STATE = "state";
-  private static final int WITH_MODEL = 3;
+  private static final int MINIMUM_ADD_ARGUMENTS = 3;
 
   @Override
   public String name() {
@@ -47,33 +47,36 @@
   }
 
   @Override
-  public ExitCode call(CommandLine line, List<String> arguments, Session session)
+  public ExitCode call(CommandLine line, List<String> arguments, CommandSession session)
       throws OatlugException {
     if (arguments.size() < 2) {
       throw new UsageException(arguments());
     }
-    Publishing publishing = Publishing.of(line, session);
+    ObjectPublisher publisher = ObjectPublisher.of(line, session);
     ObjectKey key = ObjectKey.valueOf(Kinds.VERSION, arguments.get(1));
     switch (arguments.get(0)) {
-      case "add" -> add(publishing, key, arguments, line);
-      case "promote" -> promote(publishing, key);
-      case "retire" -> publishing.change(key, standing -> with(standing, VersionState.RETIRING));
-      case "withdraw" -> publishing.change(key, standing -> with(standing, VersionState.WITHDRAWN));
+      case "add" -> add(publisher, key, arguments, line);
+      case "promote" -> promote(publisher, key);
+      case "retire" ->
+          publisher.change(key, existing -> withState(existing, VersionState.RETIRING));
+      case "withdraw" ->
+          publisher.change(key, existing -> withState(existing, VersionState.WITHDRAWN));
       default -> throw new UsageException(arguments());
     }
-    return publishing.result();
+    return publisher.result();
   }
 
-  private void add(Publishing publishing, ObjectKey key, List<String> arguments, CommandLine line)
+  private void add(
+      ObjectPublisher publisher, ObjectKey key, List<String> arguments, CommandLine line)
       throws OatlugException {
-    if (arguments.size() < WITH_MODEL) {
+    if (arguments.size() < MINIMUM_ADD_ARGUMENTS) {
       throw new UsageException(arguments());
     }
     ObjectNode content = Json.STRICT.createObjectNode();
     content.put("model", arguments.get(2));
-    content.put(STATE, text(VersionState.CANDIDATE));
+    content.put(STATE, nameOf(VersionState.CANDIDATE));
     content.put("costPerThousandTokens", costOf(line));
-    publishing.publish(key, content);
+    publisher.publish(key, content);
   }
 
   private static long costOf(CommandLine line) throws UsageException {
@@ -84,29 +87,32 @@
     }
   }
 
-  /** Makes the version current first, so that there is always one, and retires the old ones. */
-  private static void promote(Publishing publishing, ObjectKey key) throws OatlugException {
+  /**
+   * Makes the version current before it retires the previous ones, so that the model always has a
+   * current version.
+   */
+  private static void promote(ObjectPublisher publisher, ObjectKey key) throws OatlugException {
     String[] model = new String[1];
-    publishing.change(
+    publisher.change(
         key,
-        standing -> {
-          model[0] = standing.path("model").asText();
-          return with(standing, VersionState.CURRENT);
+        existing -> {
+          model[0] = existing.path("model").asText();
+          return withState(existing, VersionState.CURRENT);
         });
-    String current = text(VersionState.CURRENT);
-    for (String name : publishing.namesWhere(Kinds.VERSION, "model", model[0], current)) {
+    String current = nameOf(VersionState.CURRENT);
+    for (String name : publisher.namesWhere(Kinds.VERSION, "model", model[0], current)) {
       if (!name.equals(key.name())) {
-        ObjectKey old = ObjectKey.valueOf(Kinds.VERSION, name);
-        publishing.change(old, standing -> with(standing, VersionState.RETIRING));
+        ObjectKey previous = ObjectKey.valueOf(Kinds.VERSION, name);
+        publisher.change(previous, existing -> withState(existing, VersionState.RETIRING));
       }
     }
   }
 
-  private static ObjectNode with(ObjectNode standing, VersionState state) {
-    return standing.put(STATE, text(state));
+  private static ObjectNode withState(ObjectNode existing, VersionState state) {
+    return existing.put(STATE, nameOf(state));
   }
 
-  private static String text(VersionState state) {
+  private static String nameOf(VersionState state) {
     return state.name().toLowerCase(Locale.ROOT);
   }
 }
--- a/org.oatlug.pgm/src/org/oatlug/pgm/package-info.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' command line, one class a command. */
+/** Operators' command line, with a class per command. */
 package org.oatlug.pgm;
