--- a/org.oatlug.standin/src/org/oatlug/standin/EngineStandin.java
+++ b/org.oatlug.standin/src/org/oatlug/standin/EngineStandin.java
@@ -18,10 +18,11 @@
 import java.util.Map;
 
 /**
- * Stands in for a model engine: slots, a queue, prefill and decode times, a prefix cache, load
- * reports, and a record of each request that ran. Faults: {@code refuse}, {@code fail}, {@code
- * cutAfter} (cuts the stream after so many tokens), {@code hang}, {@code leaving}, {@code
- * slowFactor}, {@code wrongRequest}. Used from one event loop.
+ * Simulates a model engine: slots, a queue, prefill and decode times, a prefix cache, load reports,
+ * and a record of each request that ran. Faults: {@code refuse}, {@code fail}, {@code cutAfter}
+ * (closes the connection after that many tokens), {@code hang}, {@code leaving}, {@code slowFactor}
+ * (multiplies prefill and decode times), {@code wrongRequest} (responds with the id of another
+ * request). Used from one event loop.
  */
 public final class EngineStandin {
   private static final int CHARACTERS_PER_TOKEN = 4;
@@ -36,8 +37,8 @@
   private final Faults faults = new Faults();
   private final JsonArray records = new JsonArray();
   private final Deque<Job> queue = new ArrayDeque<>();
-  private final Map<Integer, Boolean> prefixes = new LinkedHashMap<>();
-  private int running;
+  private final Map<Integer, Boolean> cachedPrefixes = new LinkedHashMap<>();
+  private int runningJobs;
 
   private EngineStandin(Vertx vertx, String name, Speed speed) {
     this.vertx = vertx;
@@ -46,10 +47,10 @@
   }
 
   /**
-   * How fast an engine is.
+   * Capacity and decode speed of an engine.
    *
-   * @param slots how many requests run at once
-   * @param decodeMillis the time of a token
+   * @param slots the number of requests that run concurrently
+   * @param decodeMillis the time per output token, in milliseconds
    */
   public record Speed(int slots, int decodeMillis) {}
 
@@ -59,10 +60,10 @@
     private final boolean stream;
     private final int tokens;
     private final int promptTokens;
-    private final boolean cached;
-    private String answeredId = "";
-    private int sent;
-    private boolean gone;
+    private final boolean prefixCached;
+    private String responseId = "";
+    private int sentTokens;
+    private boolean disconnected;
 
     Job(RoutingContext context, JsonObject body, JsonObject record) {
       this.context = context;
@@ -71,15 +72,15 @@
       this.tokens = body.getInteger("max_tokens", DEFAULT_TOKENS);
       String prompt = body.getJsonArray("messages").encode();
       this.promptTokens = prompt.length() / CHARACTERS_PER_TOKEN;
-      int prefix = prompt.substring(0, Math.min(PREFIX_CHARACTERS, prompt.length())).hashCode();
-      this.cached = prefixes.put(prefix, true) != null;
-      if (prefixes.size() > CACHED_PREFIXES) {
-        prefixes.remove(prefixes.keySet().iterator().next());
+      int prefixHash = prompt.substring(0, Math.min(PREFIX_CHARACTERS, prompt.length())).hashCode();
+      this.prefixCached = cachedPrefixes.put(prefixHash, true) != null;
+      if (cachedPrefixes.size() > CACHED_PREFIXES) {
+        cachedPrefixes.remove(cachedPrefixes.keySet().iterator().next());
       }
     }
   }
 
-  /** Starts an engine. */
+  /** Starts an engine that listens on the given host and port. */
   public static Future<HttpServer> start(
       Vertx vertx, String name, String host, int port, Speed speed) {
     EngineStandin engine = new EngineStandin(vertx, name, speed);
@@ -90,20 +91,23 @@
     Router router = Router.router(vertx);
     faults.addTo(router);
     router.get("/records").handler(context -> context.response().end(records.encode()));
-    router.get("/load").handler(this::load);
-    router.post("/v1/chat/completions").handler(BodyHandler.create(false)).handler(this::chat);
+    router.get("/load").handler(this::handleLoad);
+    router
+        .post("/v1/chat/completions")
+        .handler(BodyHandler.create(false))
+        .handler(this::handleChat);
     return router;
   }
 
-  private void load(RoutingContext context) {
+  private void handleLoad(RoutingContext context) {
     JsonObject report = new JsonObject();
-    report.put("running", running).put("waiting", queue.size());
+    report.put("running", runningJobs).put("waiting", queue.size());
     report.put("leaving", faults.value("leaving") != 0);
     context.response().end(report.encode());
   }
 
-  private void chat(RoutingContext context) {
-    if (faults.strikes("refuse")) {
+  private void handleChat(RoutingContext context) {
+    if (faults.triggers("refuse")) {
       context.response().setStatusCode(503).end("{}");
       return;
     }
@@ -115,12 +119,12 @@
     record.put("leaving", faults.value("leaving") != 0);
     record.put("ran", true).put("end", "open");
     records.add(record);
-    if (faults.strikes("fail")) {
+    if (faults.triggers("fail")) {
       record.put("end", "failed");
       context.response().setStatusCode(500).end("{}");
       return;
     }
-    if (faults.strikes("hang")) {
+    if (faults.triggers("hang")) {
       return;
     }
     Job job = new Job(context, body, record);
@@ -128,95 +132,95 @@
         .response()
         .closeHandler(
             unused -> {
-              job.gone = true;
+              job.disconnected = true;
               if (record.getString("end").equals("open")) {
                 record.put("end", "cancelled");
               }
             });
     queue.add(job);
-    startNext();
+    startQueuedJobs();
   }
 
-  private void startNext() {
-    while (running < speed.slots() && !queue.isEmpty()) {
+  private void startQueuedJobs() {
+    while (runningJobs < speed.slots() && !queue.isEmpty()) {
       Job job = queue.poll();
-      if (!job.gone) {
-        running++;
-        double prefill = job.cached ? 0 : job.promptTokens * PREFILL_MILLIS_PER_TOKEN;
-        vertx.setTimer(1 + (long) (prefill * slowFactor()), unused -> begin(job));
+      if (!job.disconnected) {
+        runningJobs++;
+        double prefillMillis = job.prefixCached ? 0 : job.promptTokens * PREFILL_MILLIS_PER_TOKEN;
+        vertx.setTimer(1 + (long) (prefillMillis * slowdownFactor()), unused -> startResponse(job));
       }
     }
   }
 
-  private int slowFactor() {
+  private int slowdownFactor() {
     return Math.max(1, faults.value("slowFactor"));
   }
 
-  private void begin(Job job) {
+  private void startResponse(Job job) {
     String id = job.record.getString("requestId", "");
-    job.answeredId = faults.strikes("wrongRequest") ? "another" : id;
+    job.responseId = faults.triggers("wrongRequest") ? "another" : id;
     HttpServerResponse response = job.context.response();
-    if (job.gone) {
-      finish(job);
+    if (job.disconnected) {
+      releaseSlot(job);
       return;
     }
-    response.putHeader("X-Request-Id", job.answeredId).putHeader("X-Engine", name);
+    response.putHeader("X-Request-Id", job.responseId).putHeader("X-Engine", name);
     if (job.stream) {
       response.setChunked(true).putHeader("Content-Type", "text/event-stream");
     }
-    step(job);
+    generateNextToken(job);
   }
 
-  private void step(Job job) {
+  private void generateNextToken(Job job) {
     int cutAfter = faults.value("cutAfter");
-    if (cutAfter > 0 && job.sent >= cutAfter) {
+    if (cutAfter > 0 && job.sentTokens >= cutAfter) {
       job.record.put("end", "cut");
       job.context.request().connection().close();
-      finish(job);
+      releaseSlot(job);
       return;
     }
-    if (job.gone) {
-      finish(job);
+    if (job.disconnected) {
+      releaseSlot(job);
       return;
     }
-    if (job.sent >= job.tokens) {
-      close(job);
+    if (job.sentTokens >= job.tokens) {
+      complete(job);
       return;
     }
-    long pause = Math.max(1, (long) speed.decodeMillis() * slowFactor());
+    long tokenMillis = Math.max(1, (long) speed.decodeMillis() * slowdownFactor());
     vertx.setTimer(
-        pause,
+        tokenMillis,
         unused -> {
-          job.sent++;
-          if (job.stream && !job.gone) {
+          job.sentTokens++;
+          if (job.stream && !job.disconnected) {
             job.context.response().write("data: " + chunk(job) + "\n\n");
           }
-          step(job);
+          generateNextToken(job);
         });
   }
 
   private String chunk(Job job) {
-    JsonObject delta = new JsonObject().put("content", "t" + job.sent + " ");
+    JsonObject delta = new JsonObject().put("content", "t" + job.sentTokens + " ");
     JsonObject choice = new JsonObject().put("index", 0).put("delta", delta);
     return new JsonObject()
-        .put("id", job.answeredId)
+        .put("id", job.responseId)
         .put("object", "chat.completion.chunk")
         .put("model", job.record.getString("version"))
         .put("choices", new JsonArray().add(choice))
         .encode();
   }
 
-  private void close(Job job) {
-    job.record.put("end", "whole").put("tokens", job.sent);
+  private void complete(Job job) {
+    job.record.put("end", "whole").put("tokens", job.sentTokens);
     if (job.stream) {
       job.context.response().end("data: [DONE]\n\n");
     } else {
-      job.context.response().end(wholeAnswer(job));
+      job.context.response().end(completeResponse(job));
     }
-    finish(job);
+    releaseSlot(job);
   }
 
-  private String wholeAnswer(Job job) {
+  private String completeResponse(Job job) {
     StringBuilder text = new StringBuilder();
     for (int token = 1; token <= job.tokens; token++) {
       text.append('t').append(token).append(' ');
@@ -225,9 +229,9 @@
     message.put("role", "assistant").put("content", text.toString());
     JsonObject choice = new JsonObject().put("index", 0).put("message", message);
     JsonObject usage = new JsonObject();
-    usage.put("prompt_tokens", job.promptTokens).put("completion_tokens", job.sent);
+    usage.put("prompt_tokens", job.promptTokens).put("completion_tokens", job.sentTokens);
     return new JsonObject()
-        .put("id", job.answeredId)
+        .put("id", job.responseId)
         .put("object", "chat.completion")
         .put("model", job.record.getString("version"))
         .put("choices", new JsonArray().add(choice))
@@ -235,8 +239,8 @@
         .encode();
   }
 
-  private void finish(Job job) {
-    running--;
-    startNext();
+  private void releaseSlot(Job job) {
+    runningJobs--;
+    startQueuedJobs();
   }
 }
--- a/org.oatlug.standin/src/org/oatlug/standin/Faults.java
+++ b/org.oatlug.standin/src/org/oatlug/standin/Faults.java
@@ -10,38 +10,38 @@
 import java.util.Map;
 
 /**
- * The fault switches of a stand-in, set by {@code PUT /faults} with a JSON object of switch names
- * and numbers. A number counts how often the fault still strikes; -1 means always. Used from one
+ * Fault switches of a stand-in, set by {@code PUT /faults} with a JSON object of switch names and
+ * numbers. A number is how many more times the fault is injected; -1 means always. Used from one
  * event loop.
  */
 public final class Faults {
   private final Map<String, Integer> switches = new HashMap<>();
 
-  /** Adds the route that sets the switches. */
+  /** Adds the route that replaces all switches. */
   public void addTo(Router router) {
     router
         .put("/faults")
         .handler(BodyHandler.create(false))
         .handler(
             context -> {
-              JsonObject wanted = context.body().asJsonObject();
+              JsonObject requested = context.body().asJsonObject();
               switches.clear();
-              wanted.forEach(
+              requested.forEach(
                   entry -> switches.put(entry.getKey(), ((Number) entry.getValue()).intValue()));
               context.response().end("{}");
             });
   }
 
-  /** Returns whether the fault strikes now, and counts it. */
-  public boolean strikes(String name) {
-    int left = switches.getOrDefault(name, 0);
-    if (left > 0) {
-      switches.put(name, left - 1);
+  /** Returns true if the fault is to be injected now, and decrements its remaining count. */
+  public boolean triggers(String name) {
+    int remaining = switches.getOrDefault(name, 0);
+    if (remaining > 0) {
+      switches.put(name, remaining - 1);
     }
-    return left != 0;
+    return remaining != 0;
   }
 
-  /** Returns the number of a switch, 0 if it is not set. */
+  /** Returns the number of a switch, or 0 if it is not set. */
   public int value(String name) {
     return switches.getOrDefault(name, 0);
   }
--- a/org.oatlug.standin/src/org/oatlug/standin/PlatformStandin.java
+++ b/org.oatlug.standin/src/org/oatlug/standin/PlatformStandin.java
@@ -19,10 +19,11 @@
 import org.oatlug.internal.util.MonotonicClock;
 
 /**
- * Stands in for the platform: objects with versions, conditional updates, watches, rates and an
- * instance list. Faults: {@code down}, {@code loseReply} (a write takes effect and its reply is
- * lost), {@code hang}, {@code staleList}, {@code gap} (a change is left out of watches), {@code
- * slowMillis}. Used from one event loop.
+ * Simulates the platform: objects with versions, conditional updates, watches, rate limits and an
+ * instance list. Faults: {@code down}, {@code loseReply} (a write takes effect but its response is
+ * lost), {@code hang}, {@code staleList} (keeps the snapshot that {@code staleRead} returns from
+ * following a write), {@code staleRead} (a list returns that snapshot), {@code gap} (watches are
+ * not notified of a write), {@code slowMillis}. Used from one event loop.
  */
 public final class PlatformStandin {
   private static final int WRITES_PER_SECOND = 100;
@@ -50,7 +51,7 @@
 
   private record Watch(Set<String> kinds, long since, RoutingContext context, long timer) {}
 
-  /** Starts a platform. */
+  /** Starts a platform that listens on the given host and port. */
   public static Future<HttpServer> start(Vertx vertx, String host, int port) {
     return vertx
         .createHttpServer()
@@ -61,7 +62,7 @@
   private Router router() {
     Router router = Router.router(vertx);
     faults.addTo(router);
-    router.get("/counts").handler(this::counts);
+    router.get("/counts").handler(this::handleCounts);
     router
         .put("/instances")
         .handler(BodyHandler.create(false))
@@ -70,7 +71,7 @@
               instances = context.body().asJsonArray();
               context.response().end("{}");
             });
-    router.route().handler(this::fault);
+    router.route().handler(this::applyFaults);
     router.route().handler(BodyHandler.create(false).setBodyLimit(BODY_LIMIT));
     router.get("/objects/:kind/:name").handler(this::get);
     router.put("/objects/:kind/:name").handler(this::put);
@@ -80,19 +81,19 @@
     return router;
   }
 
-  private void counts(RoutingContext context) {
+  private void handleCounts(RoutingContext context) {
     JsonObject counts = new JsonObject();
     counts.put("writes", writeCount).put("reads", readCount).put("watches", watches.size());
     context.response().end(counts.encode());
   }
 
-  private void fault(RoutingContext context) {
+  private void applyFaults(RoutingContext context) {
     boolean write = context.request().method().name().equals("PUT");
-    if (faults.strikes("down")) {
+    if (faults.triggers("down")) {
       context.request().connection().close();
       return;
     }
-    if (faults.strikes("hang")) {
+    if (faults.triggers("hang")) {
       return;
     }
     boolean allowed =
@@ -105,11 +106,11 @@
     }
     writeCount += write ? 1 : 0;
     readCount += write ? 0 : 1;
-    int slow = faults.value("slowMillis");
-    if (slow > 0) {
+    int delayMillis = faults.value("slowMillis");
+    if (delayMillis > 0) {
       context.request().pause();
       vertx.setTimer(
-          slow,
+          delayMillis,
           unused -> {
             context.request().resume();
             context.next();
@@ -130,15 +131,15 @@
 
   private void put(RoutingContext context) {
     String key = keyOf(context);
-    JsonObject known = objects.get(key);
-    long version = known == null ? 0 : known.getLong("version");
+    JsonObject existing = objects.get(key);
+    long version = existing == null ? 0 : existing.getLong("version");
     String expected = context.request().getHeader("If-Match");
     if (!Long.toString(version).equals(expected)) {
-      JsonObject answer = known == null ? new JsonObject() : known.copy();
-      context.response().setStatusCode(412).end(answer.put("error", CONFLICT).encode());
+      JsonObject conflictBody = existing == null ? new JsonObject() : existing.copy();
+      context.response().setStatusCode(412).end(conflictBody.put("error", CONFLICT).encode());
       return;
     }
-    if (!faults.strikes("staleList")) {
+    if (!faults.triggers("staleList")) {
       staleObjects = List.copyOf(objects.values());
       staleRevision = revision;
     }
@@ -147,10 +148,10 @@
     object.put("kind", context.pathParam("kind")).put("name", context.pathParam("name"));
     object.put("version", revision).put("value", context.body().asJsonObject());
     objects.put(key, object);
-    if (!faults.strikes("gap")) {
-      wakeWatches();
+    if (!faults.triggers("gap")) {
+      notifyWatches();
     }
-    if (faults.strikes("loseReply")) {
+    if (faults.triggers("loseReply")) {
       context.request().connection().close();
       return;
     }
@@ -159,7 +160,7 @@
 
   private void list(RoutingContext context) {
     Set<String> kinds = kindsOf(context);
-    if (faults.strikes("staleRead")) {
+    if (faults.triggers("staleRead")) {
       reply(context, batch(kinds, staleObjects, -1, staleRevision));
       return;
     }
@@ -173,31 +174,31 @@
       reply(context, batch(kinds, objects.values(), since, revision));
       return;
     }
-    long wait = Math.max(1, Long.parseLong(context.request().getParam("wait")));
-    long timer = vertx.setTimer(wait, unused -> wake(context));
+    long waitMillis = Math.max(1, Long.parseLong(context.request().getParam("wait")));
+    long timer = vertx.setTimer(waitMillis, unused -> completeWatch(context));
     Watch watch = new Watch(kinds, since, context, timer);
     watches.add(watch);
-    context.response().closeHandler(unused -> drop(watch));
+    context.response().closeHandler(unused -> removeWatch(watch));
   }
 
-  private void wake(RoutingContext context) {
+  private void completeWatch(RoutingContext context) {
     for (Watch watch : List.copyOf(watches)) {
       if (watch.context() == context) {
-        drop(watch);
+        removeWatch(watch);
         reply(context, batch(watch.kinds(), objects.values(), watch.since(), revision));
       }
     }
   }
 
-  private void wakeWatches() {
+  private void notifyWatches() {
     for (Watch watch : List.copyOf(watches)) {
       if (hasChanges(watch.kinds(), watch.since())) {
-        wake(watch.context());
+        completeWatch(watch.context());
       }
     }
   }
 
-  private void drop(Watch watch) {
+  private void removeWatch(Watch watch) {
     vertx.cancelTimer(watch.timer());
     watches.remove(watch);
   }
@@ -210,14 +211,14 @@
   }
 
   private static String batch(
-      Set<String> kinds, Iterable<JsonObject> all, long since, long revision) {
-    JsonArray found = new JsonArray();
-    for (JsonObject object : all) {
+      Set<String> kinds, Iterable<JsonObject> candidates, long since, long revision) {
+    JsonArray matching = new JsonArray();
+    for (JsonObject object : candidates) {
       if (object.getLong("version") > since && kinds.contains(object.getString("kind"))) {
-        found.add(object);
+        matching.add(object);
       }
     }
-    return new JsonObject().put("revision", revision).put("objects", found).encode();
+    return new JsonObject().put("revision", revision).put("objects", matching).encode();
   }
 
   private static Set<String> kindsOf(RoutingContext context) {
--- a/org.oatlug.standin/src/org/oatlug/standin/RatingStandin.java
+++ b/org.oatlug.standin/src/org/oatlug/standin/RatingStandin.java
@@ -13,16 +13,16 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Stands in for the answer rating: an answer meets its target unless its version was declared bad
- * by {@code PUT /bad/VERSION}. Faults: {@code down}. Used from one event loop.
+ * Simulates the service that rates answers: an answer meets its target unless its version was
+ * marked bad by {@code PUT /bad/VERSION}. Faults: {@code down}. Used from one event loop.
  */
 public final class RatingStandin {
   private final Faults faults = new Faults();
-  private final Set<String> bad = ConcurrentHashMap.newKeySet();
+  private final Set<String> badVersions = ConcurrentHashMap.newKeySet();
 
   private RatingStandin() {}
 
-  /** Starts a rating service. */
+  /** Starts a rating service that listens on the given host and port. */
   public static Future<HttpServer> start(Vertx vertx, String host, int port) {
     return vertx
         .createHttpServer()
@@ -37,7 +37,7 @@
         .put("/bad/:version")
         .handler(
             context -> {
-              bad.add(context.pathParam("version"));
+              badVersions.add(context.pathParam("version"));
               context.response().end("{}");
             });
     router
@@ -45,13 +45,13 @@
         .handler(BodyHandler.create(false))
         .handler(
             context -> {
-              if (faults.strikes("down")) {
+              if (faults.triggers("down")) {
                 context.request().connection().close();
                 return;
               }
               String version = context.body().asJsonObject().getString("version");
-              JsonObject answer = new JsonObject().put("met", !bad.contains(version));
-              context.response().end(answer.encode());
+              JsonObject rating = new JsonObject().put("met", !badVersions.contains(version));
+              context.response().end(rating.encode());
             });
     return router;
   }
--- a/org.oatlug.standin/src/org/oatlug/standin/Relay.java
+++ b/org.oatlug.standin/src/org/oatlug/standin/Relay.java
@@ -13,17 +13,17 @@
 import java.util.List;
 
 /**
- * A TCP relay that stands in for a network between two availability zones: it can cut, hold and
- * delay. Used from one event loop.
+ * TCP relay that simulates the network between two availability zones. It can close connections,
+ * drop bytes and delay them. Used from one event loop.
  */
 public final class Relay {
-  /** What the relay does with connections and bytes. */
+  /** Treatment of connections and bytes. */
   public enum Mode {
-    /** Passes everything on. */
+    /** Forwards everything. */
     PASS,
-    /** Closes connections and accepts none. */
+    /** Closes open connections and rejects new ones. */
     CUT,
-    /** Accepts connections and passes nothing on, as a network that drops packets. */
+    /** Accepts connections but discards all bytes, as a network that drops packets. */
     HOLD
   }
 
@@ -31,9 +31,9 @@
   private final NetClient client;
   private final String host;
   private final int port;
-  private final List<NetSocket> open = new ArrayList<>();
+  private final List<NetSocket> sockets = new ArrayList<>();
   private Mode mode = Mode.PASS;
-  private String cutSource = "";
+  private String blockedPrefix = "";
   private long delayMillis;
 
   private Relay(Vertx vertx, String host, int port) {
@@ -43,72 +43,72 @@
     this.port = port;
   }
 
-  /** Returns a relay to {@code host} and {@code port}, which does not listen yet. */
+  /** Returns a relay to {@code host} and {@code port} that does not listen yet. */
   public static Relay to(Vertx vertx, String host, int port) {
     return new Relay(vertx, host, port);
   }
 
-  /** Starts to listen. */
+  /** Starts to listen on the given host and port. */
   public Future<NetServer> listen(String listenHost, int listenPort) {
     return vertx.createNetServer().connectHandler(this::accept).listen(listenPort, listenHost);
   }
 
-  /** Changes what the relay does; connections that were made under another mode are closed. */
+  /** Changes the mode; {@link Mode#CUT} also closes all open connections. */
   public void mode(Mode newMode) {
     mode = newMode;
     if (newMode == Mode.CUT) {
-      List.copyOf(open).forEach(NetSocket::close);
+      List.copyOf(sockets).forEach(NetSocket::close);
     }
   }
 
-  /** Cuts connections from addresses that start with {@code prefix}; an empty one cuts none. */
+  /** Rejects and closes connections from addresses with this prefix; an empty one blocks none. */
   public void cutFrom(String prefix) {
-    cutSource = prefix;
-    List.copyOf(open).stream().filter(this::isFromCut).forEach(NetSocket::close);
+    blockedPrefix = prefix;
+    List.copyOf(sockets).stream().filter(this::isBlocked).forEach(NetSocket::close);
   }
 
-  private boolean isFromCut(NetSocket socket) {
-    return !cutSource.isEmpty() && socket.remoteAddress().host().startsWith(cutSource);
+  private boolean isBlocked(NetSocket socket) {
+    return !blockedPrefix.isEmpty() && socket.remoteAddress().host().startsWith(blockedPrefix);
   }
 
-  /** Delays bytes in each direction. */
-  public void delay(long millis) {
+  /** Delays bytes in each direction, by a time in milliseconds. */
+  public void setDelay(long millis) {
     delayMillis = millis;
   }
 
-  private void accept(NetSocket near) {
-    if (mode == Mode.CUT || isFromCut(near)) {
-      near.close();
+  private void accept(NetSocket inbound) {
+    if (mode == Mode.CUT || isBlocked(inbound)) {
+      inbound.close();
       return;
     }
-    near.pause();
-    track(near);
+    inbound.pause();
+    addSocket(inbound);
     client
         .connect(port, host)
         .onComplete(
-            far -> {
-              track(far);
-              join(near, far);
-              join(far, near);
-              near.resume();
+            outbound -> {
+              addSocket(outbound);
+              forward(inbound, outbound);
+              forward(outbound, inbound);
+              inbound.resume();
             },
-            failure -> near.close());
+            failure -> inbound.close());
   }
 
-  private void track(NetSocket socket) {
-    open.add(socket);
+  private void addSocket(NetSocket socket) {
+    sockets.add(socket);
   }
 
-  private void join(NetSocket from, NetSocket to) {
-    from.handler(bytes -> pass(bytes, to));
+  private void forward(NetSocket from, NetSocket to) {
+    from.handler(bytes -> forwardBytes(bytes, to));
     from.closeHandler(
         unused -> {
-          open.remove(from);
+          sockets.remove(from);
           to.close();
         });
   }
 
-  private void pass(Buffer bytes, NetSocket to) {
+  private void forwardBytes(Buffer bytes, NetSocket to) {
     if (mode == Mode.HOLD) {
       return;
     }
--- a/org.oatlug.standin/src/org/oatlug/standin/ServiceStandin.java
+++ b/org.oatlug.standin/src/org/oatlug/standin/ServiceStandin.java
@@ -14,9 +14,9 @@
 import java.util.TreeMap;
 
 /**
- * Stands in for a plain service that counts how often each key ran. Faults: {@code refuse}, {@code
- * cutAfterRun} (runs and then cuts the connection), {@code hang} (runs and never answers), {@code
- * slowMillis}. Used from one event loop.
+ * Simulates a plain service that counts how often it ran the request of each idempotency key.
+ * Faults: {@code refuse}, {@code cutAfterRun} (runs and then closes the connection), {@code hang}
+ * (runs and never responds), {@code slowMillis}. Used from one event loop.
  */
 public final class ServiceStandin {
   private final Vertx vertx;
@@ -28,7 +28,7 @@
     this.vertx = vertx;
   }
 
-  /** Starts a service. */
+  /** Starts a service that listens on the given host and port. */
   public static Future<HttpServer> start(Vertx vertx, String host, int port) {
     ServiceStandin service = new ServiceStandin(vertx);
     return vertx.createHttpServer().requestHandler(service.router()).listen(port, host);
@@ -40,20 +40,20 @@
     router
         .get("/runs")
         .handler(context -> context.response().end(JsonObject.mapFrom(runs).encode()));
-    router.get("/load").handler(this::load);
-    router.route().handler(BodyHandler.create(false)).handler(this::run);
+    router.get("/load").handler(this::handleLoad);
+    router.route().handler(BodyHandler.create(false)).handler(this::handleRun);
     return router;
   }
 
-  private void load(RoutingContext context) {
+  private void handleLoad(RoutingContext context) {
     JsonObject report = new JsonObject();
     report.put("running", inProgress).put("waiting", 0);
     report.put("leaving", faults.value("leaving") != 0);
     context.response().end(report.encode());
   }
 
-  private void run(RoutingContext context) {
-    if (faults.strikes("refuse")) {
+  private void handleRun(RoutingContext context) {
+    if (faults.triggers("refuse")) {
       context.response().setStatusCode(503).end("{}");
       return;
     }
@@ -61,22 +61,22 @@
     String key = header == null ? "no key" : header;
     final int count = runs.merge(key, 1, Integer::sum);
     inProgress++;
-    if (faults.strikes("cutAfterRun")) {
+    if (faults.triggers("cutAfterRun")) {
       inProgress--;
       context.request().connection().close();
       return;
     }
-    if (faults.strikes("hang")) {
+    if (faults.triggers("hang")) {
       inProgress--;
       return;
     }
-    int slow = Math.max(1, faults.value("slowMillis"));
-    vertx.setTimer(slow, unused -> answer(context, key, count));
+    int delayMillis = Math.max(1, faults.value("slowMillis"));
+    vertx.setTimer(delayMillis, unused -> respond(context, key, count));
   }
 
-  private void answer(RoutingContext context, String key, int count) {
+  private void respond(RoutingContext context, String key, int count) {
     inProgress--;
-    JsonObject answer = new JsonObject().put("key", key).put("run", count);
-    context.response().putHeader("Content-Type", "application/json").end(answer.encode());
+    JsonObject body = new JsonObject().put("key", key).put("run", count);
+    context.response().putHeader("Content-Type", "application/json").end(body.encode());
   }
 }
--- a/org.oatlug.standin/src/org/oatlug/standin/Standin.java
+++ b/org.oatlug.standin/src/org/oatlug/standin/Standin.java
@@ -15,26 +15,26 @@
 import org.apache.commons.cli.ParseException;
 
 /**
- * Starts stand-ins: {@code standin --kind platform|engine|service|rating --ports P1,P2,...}; one
- * process may hold several engines or services, one a port.
+ * Starts stand-ins: {@code standin --kind platform|engine|service|rating --ports P1,P2,...}. A
+ * process may run several engines or services, each on its own port.
  */
 public final class Standin {
   private static final String USAGE =
       "usage: standin --kind platform|engine|service|rating --ports P1,P2,..."
           + " [--slots N] [--decode-millis N]";
   private static final String HOST = "127.0.0.1";
-  private static final int WRONG = 2;
+  private static final int USAGE_EXIT_CODE = 2;
 
   private Standin() {}
 
-  /** Runs the stand-ins until the process is ended. */
+  /** Runs the stand-ins until the process is terminated. */
   public static void main(String[] arguments) {
     try {
       CommandLine line = new DefaultParser().parse(options(), arguments);
       start(line);
     } catch (ParseException | NumberFormatException e) {
       System.err.println(e.getMessage() + System.lineSeparator() + USAGE);
-      System.exit(WRONG);
+      System.exit(USAGE_EXIT_CODE);
     }
   }
 
@@ -50,13 +50,13 @@
     Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
     String kind = line.getOptionValue("kind");
     int slots = Integer.parseInt(line.getOptionValue("slots", "8"));
-    int decode = Integer.parseInt(line.getOptionValue("decode-millis", "5"));
-    List<Future<HttpServer>> started = new ArrayList<>();
-    for (String text : line.getOptionValue("ports").split(",")) {
-      int port = Integer.parseInt(text);
-      started.add(startOne(vertx, kind, port, new EngineStandin.Speed(slots, decode)));
+    int decodeMillis = Integer.parseInt(line.getOptionValue("decode-millis", "5"));
+    List<Future<HttpServer>> servers = new ArrayList<>();
+    for (String portText : line.getOptionValue("ports").split(",")) {
+      int port = Integer.parseInt(portText);
+      servers.add(startStandin(vertx, kind, port, new EngineStandin.Speed(slots, decodeMillis)));
     }
-    Future.all(started)
+    Future.all(servers)
         .onComplete(
             unused -> System.out.println("listening"),
             failure -> {
@@ -65,7 +65,7 @@
             });
   }
 
-  private static Future<HttpServer> startOne(
+  private static Future<HttpServer> startStandin(
       Vertx vertx, String kind, int port, EngineStandin.Speed speed) throws ParseException {
     return switch (kind) {
       case "platform" -> PlatformStandin.start(vertx, HOST, port);
--- a/org.oatlug.standin/src/org/oatlug/standin/package-info.java
+++ b/org.oatlug.standin/src/org/oatlug/standin/package-info.java
@@ -1,2 +1,2 @@
-/** Small stand-ins for the outside systems, for the demonstration and the tests only. */
+/** Simulations of the external systems, for the demonstration and the tests only. */
 package org.oatlug.standin;
