--- a/org.oatlug.test/tst/org/oatlug/test/AnswerProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/AnswerProcessTest.java
@@ -23,27 +23,30 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Shows that answers are whole and the caller's own, and that "not run" is true. */
+/**
+ * Tests that responses are complete and belong to the caller's own request, and that a refusal
+ * marked "not run" was never executed by an upstream.
+ */
 public class AnswerProcessTest {
   private TestCluster cluster;
 
-  /** Starts the processes. */
+  /** Starts the cluster. */
   @BeforeClass
   public void start() throws IOException {
     cluster = TestCluster.start(2, 2, 2);
   }
 
-  /** Ends them. */
+  /** Stops the cluster. */
   @AfterClass(alwaysRun = true)
   public void stop() throws IOException {
     cluster.close();
   }
 
-  /** Mends every upstream. */
+  /** Clears all faults and waits until every upstream is in use again. */
   @AfterMethod(alwaysRun = true)
-  public void mend() throws IOException {
-    engineFaults("{}");
-    serviceFaults("{}");
+  public void clearFaults() throws IOException {
+    setEngineFaults("{}");
+    setServiceFaults("{}");
     Await.until(
         "upstreams in use again",
         () -> Http.send(cluster.chat(0, "small", false, 1)).status() == 200);
@@ -52,19 +55,19 @@
         () -> Http.send(cluster.order(0, "mend-" + System.nanoTime())).status() == 200);
   }
 
-  private void engineFaults(String json) throws IOException {
+  private void setEngineFaults(String json) throws IOException {
     for (int port : cluster.enginePorts) {
       cluster.faults(port, json);
     }
   }
 
-  private void serviceFaults(String json) throws IOException {
+  private void setServiceFaults(String json) throws IOException {
     for (int port : cluster.servicePorts) {
       cluster.faults(port, json);
     }
   }
 
-  /** Returns engine faults and whether the request may have run under them. */
+  /** Returns engine faults and, for each, whether the request may have run. */
   @DataProvider
   public Object[][] engineFaultTable() {
     return new Object[][] {
@@ -76,21 +79,22 @@
     };
   }
 
-  /** Whatever the engines do, "not run: yes" means that no engine has a record of the request. */
+  /** Whatever the fault, "not run: yes" means that no engine has a record of the request. */
   @Test(dataProvider = "engineFaultTable")
-  public void testNotRunIsTrueForChats(String faults, boolean runs) throws IOException {
-    engineFaults(faults);
+  public void testNotRunIsTrueForChats(String faults, boolean mayHaveRun) throws IOException {
+    setEngineFaults(faults);
     Http.Answer answer =
         Http.send(cluster.chat(0, "small", false, 4).header("Oatlug-Deadline-Ms", "3000"));
     assertFalse(answer.status() == 200, answer.body());
     String id = answer.json().path("requestId").asText();
     boolean recorded =
-        cluster.records().stream().anyMatch(one -> one.path("requestId").asText().equals(id));
-    assertEquals(recorded, runs, answer.body());
-    assertEquals(answer.notRun(), runs ? "unknown" : "yes", answer.body());
+        cluster.records().stream()
+            .anyMatch(engineRecord -> engineRecord.path("requestId").asText().equals(id));
+    assertEquals(recorded, mayHaveRun, answer.body());
+    assertEquals(answer.notRun(), mayHaveRun ? "unknown" : "yes", answer.body());
   }
 
-  /** Returns service faults and whether the order may have run under them. */
+  /** Returns service faults and, for each, whether the order may have run. */
   @DataProvider
   public Object[][] serviceFaultTable() {
     return new Object[][] {
@@ -98,29 +102,30 @@
     };
   }
 
-  /** The same for orders, which also run no second time. */
+  /** The same holds for orders, which are also never run twice. */
   @Test(dataProvider = "serviceFaultTable")
-  public void testNotRunIsTrueForOrders(String faults, boolean runs) throws IOException {
+  public void testNotRunIsTrueForOrders(String faults, boolean mayHaveRun) throws IOException {
     String key = "fault-" + faults;
-    serviceFaults(faults);
+    setServiceFaults(faults);
     Http.Answer answer = Http.send(cluster.order(1, key));
     assertFalse(answer.status() == 200, answer.body());
-    assertEquals(answer.notRun(), runs ? "unknown" : "yes", answer.body());
-    assertEquals(cluster.runs().getOrDefault(key, 0), Integer.valueOf(runs ? 1 : 0));
+    assertEquals(answer.notRun(), mayHaveRun ? "unknown" : "yes", answer.body());
+    assertEquals(cluster.runs().getOrDefault(key, 0), Integer.valueOf(mayHaveRun ? 1 : 0));
   }
 
-  /** A stream that breaks off ends with a typed event, never as if it were whole. */
+  /** An interrupted stream ends with a typed error event, never as if it were complete. */
   @Test
   public void testCutStreamEndsWithTypedEvent() throws IOException {
-    engineFaults("{\"cutAfter\":3}");
+    setEngineFaults("{\"cutAfter\":3}");
     Http.Answer answer = Http.send(cluster.chat(0, "small", true, 10));
     assertTrue(answer.body().contains("event: error"), answer.body());
     assertTrue(answer.body().contains("\"reason\":\"upstream-failed\""), answer.body());
     assertFalse(answer.body().contains("[DONE]"), answer.body());
-    assertEquals(answer.body().split("\"content\":\"t1 \"", -1).length, 2, "begun twice");
+    assertEquals(
+        answer.body().split("\"content\":\"t1 \"", -1).length, 2, "the stream was started twice");
   }
 
-  /** An engine that hands out another request's answer is not passed on. */
+  /** A response that carries the id of another request is not forwarded to the caller. */
   @Test
   public void testAnswerOfAnotherRequestIsNotPassedOn() throws IOException {
     cluster.faults(cluster.enginePorts.get(0), "{\"wrongRequest\":-1}");
@@ -131,7 +136,7 @@
     }
   }
 
-  /** Callers at the same time each get their own whole answer. */
+  /** Concurrent callers each get their own complete response. */
   @Test
   public void testManyCallersEachGetTheirOwnAnswer() {
     List<CompletableFuture<Http.Answer>> answers = new ArrayList<>();
@@ -151,7 +156,7 @@
     }
   }
 
-  /** A caller that reads slowly gets its whole answer. */
+  /** A caller that reads slowly gets its complete response. */
   @Test
   public void testSlowCallerGetsWholeAnswer() throws IOException {
     String body =
@@ -174,15 +179,15 @@
         text.append(new String(buffer, 0, read, StandardCharsets.UTF_8));
         Await.pause(5);
       }
-      assertTrue(text.toString().contains("t300 "), "the end is missing");
+      assertTrue(text.toString().contains("t300 "), "the last token is missing");
       assertTrue(text.toString().contains("[DONE]"), "the closing event is missing");
     }
   }
 
-  /** A caller that goes away frees its place at the engine. */
+  /** A caller that disconnects frees its slot at the engine. */
   @Test
-  public void testCallerThatGoesAwayIsCancelledAtTheEngine() throws IOException {
-    long before = cancelled();
+  public void testDisconnectedCallerIsCancelledAtTheEngine() throws IOException {
+    long before = cancelledCount();
     String body =
         "{\"model\":\"small\",\"stream\":true,\"max_tokens\":2000,"
             + "\"messages\":[{\"role\":\"user\",\"content\":\"long\"}]}";
@@ -196,16 +201,16 @@
       socket.getOutputStream().write((head + body).getBytes(StandardCharsets.UTF_8));
       assertTrue(socket.getInputStream().read() >= 0);
     }
-    Await.until("cancelled at the engine", () -> cancelled() == before + 1);
+    Await.until("the request is cancelled at the engine", () -> cancelledCount() == before + 1);
   }
 
-  private long cancelled() throws IOException {
+  private long cancelledCount() throws IOException {
     return cluster.records().stream()
         .filter(record -> record.path("end").asText().equals("cancelled"))
         .count();
   }
 
-  /** A workspace sees the models and cascades that it may use. */
+  /** A workspace sees only the models and cascades that its policy allows. */
   @Test
   public void testModelsAreThoseTheWorkspaceMayUse() throws IOException {
     assertEquals(modelsOf(TestCluster.KEY), List.of("large", "small", "both"));
@@ -217,28 +222,28 @@
         Http.send(
             Http.to(cluster.callerPort(0), "/v1/models").header("Authorization", "Bearer " + key));
     List<String> names = new ArrayList<>();
-    answer.json().path("data").forEach(one -> names.add(one.path("id").asText()));
+    answer.json().path("data").forEach(model -> names.add(model.path("id").asText()));
     return names;
   }
 
-  /** Returns bad requests and the reason that each is refused with. */
+  /** Returns invalid requests and the expected reason of each refusal. */
   @DataProvider
-  public Object[][] badRequestTable() {
-    String good = "{\"model\":\"small\",\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}";
+  public Object[][] invalidRequestTable() {
+    String validBody = "{\"model\":\"small\",\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}";
     String key = "Bearer " + TestCluster.KEY;
     return new Object[][] {
-      {"/v1/chat/completions", "", good, "key-missing"},
-      {"/v1/chat/completions", "Bearer wrong", good, "key-unknown"},
+      {"/v1/chat/completions", "", validBody, "key-missing"},
+      {"/v1/chat/completions", "Bearer wrong", validBody, "key-unknown"},
       {"/v1/chat/completions", key, "{", "body-invalid"},
       {"/v1/chat/completions", key, "[]", "body-invalid"},
       {"/v1/chat/completions", key, "{\"model\":1,\"messages\":[]}", "body-invalid"},
       {"/v1/chat/completions", key, "{\"model\":\"small\",\"messages\":[]}", "body-invalid"},
-      {"/v1/chat/completions", key, good.replace("small", "none"), "model-unknown"},
-      {"/v1/chat/completions", key, good + " ".repeat(70_000), "body-too-large"},
+      {"/v1/chat/completions", key, validBody.replace("small", "none"), "model-unknown"},
+      {"/v1/chat/completions", key, validBody + " ".repeat(70_000), "body-too-large"},
       {
         "/v1/chat/completions",
         "Bearer key-of-the-narrow",
-        good.replace("small", "large"),
+        validBody.replace("small", "large"),
         "not-allowed"
       },
       {"/v1/services/none/x", key, "", "route-unknown"},
@@ -247,10 +252,10 @@
     };
   }
 
-  /** Bad input gets a typed answer, and the process stays up. */
+  /** Invalid input gets a typed refusal, and the process keeps running. */
   @Test(dataProvider = "badRequestTable")
-  public void testBadRequestGetsTypedRefusal(String path, String key, String body, String reason)
-      throws IOException {
+  public void testInvalidRequestGetsTypedRefusal(
+      String path, String key, String body, String reason) throws IOException {
     HttpRequest.Builder request =
         Http.to(cluster.callerPort(0), path).POST(HttpRequest.BodyPublishers.ofString(body));
     if (!key.isEmpty()) {
@@ -264,9 +269,9 @@
     assertTrue(cluster.entry(0).isAlive());
   }
 
-  /** Headers that are wrong get a typed answer. */
+  /** Invalid headers get a typed refusal. */
   @Test
-  public void testBadHeadersGetTypedRefusal() throws IOException {
+  public void testInvalidHeadersGetTypedRefusal() throws IOException {
     Http.Answer deadline =
         Http.send(cluster.chat(0, "small", false, 1).header("Oatlug-Deadline-Ms", "soon"));
     assertEquals(deadline.reason(), "header-invalid", deadline.body());
@@ -275,9 +280,9 @@
     assertEquals(session.reason(), "session-invalid", session.body());
   }
 
-  /** Frames that are malformed, oversize or unproved close the connection and nothing else. */
+  /** A malformed, oversized or unauthenticated frame closes its connection and nothing else. */
   @Test
-  public void testMalformedPeerFramesAreCutOff() throws IOException {
+  public void testMalformedPeerFramesCloseOnlyTheirConnection() throws IOException {
     byte[][] frames = {
       ByteBuffer.allocate(8).putInt(4).putInt(-1).array(),
       ByteBuffer.allocate(4).putInt(Integer.MAX_VALUE).array(),
--- a/org.oatlug.test/tst/org/oatlug/test/AtMostOnceProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/AtMostOnceProcessTest.java
@@ -15,24 +15,24 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Shows that a request that may not be repeated runs at most once; the service's record counts. */
+/** Tests that an unrepeatable request runs at most once, according to the service's own record. */
 public class AtMostOnceProcessTest {
   private static final int INSTANCES = 3;
   private TestCluster cluster;
 
-  /** Starts the processes. */
+  /** Starts the cluster. */
   @BeforeClass
   public void start() throws IOException {
     cluster = TestCluster.start(INSTANCES, 1, 2);
   }
 
-  /** Ends them. */
+  /** Stops the cluster. */
   @AfterClass(alwaysRun = true)
   public void stop() throws IOException {
     cluster.close();
   }
 
-  /** The same keys race through all instances. */
+  /** Orders with the same keys are sent to all instances concurrently. */
   @Test
   public void testRacingCallersRunOnce() throws IOException {
     List<CompletableFuture<Http.Answer>> answers = new ArrayList<>();
@@ -52,9 +52,9 @@
     }
   }
 
-  /** An upstream runs the order and cuts the connection; nobody runs it again. */
+  /** An upstream runs the order and closes the connection; no instance runs it again. */
   @Test
-  public void testOrderThatRanWithoutAnswerRunsNoSecondTime() throws IOException {
+  public void testOrderThatRanWithoutResponseIsNotRepeated() throws IOException {
     for (int port : cluster.servicePorts) {
       cluster.faults(port, "{\"cutAfterRun\":1}");
     }
@@ -63,7 +63,7 @@
     for (int index = 0; index < INSTANCES; index++) {
       int instance = index;
       Await.until(
-          "outcome known",
+          "the outcome is known",
           () -> Http.send(cluster.order(instance, "cut-1")).reason().equals("may-have-run"));
     }
     assertEquals(cluster.runs().get("cut-1"), Integer.valueOf(1));
@@ -72,9 +72,9 @@
     }
   }
 
-  /** The platform is away: refused at once and not run; when it is back the key runs once. */
+  /** While the platform is unavailable an order is refused and not run; later its key runs once. */
   @Test
-  public void testPlatformAwayRefusesAndDoesNotRun() throws IOException {
+  public void testUnavailablePlatformRefusesAndDoesNotRun() throws IOException {
     cluster.faults(cluster.platformPort, "{\"down\":-1}");
     Http.Answer refused = Http.send(cluster.order(0, "away-1"));
     assertEquals(refused.reason(), "ledger-unavailable", refused.body());
@@ -86,7 +86,7 @@
     assertEquals(cluster.runs().get("away-1"), Integer.valueOf(1));
   }
 
-  /** Replies of the platform are lost after the write took effect. */
+  /** Responses of the platform are lost after the write took effect. */
   @Test
   public void testLostRepliesRunOnce() throws IOException {
     for (int round = 0; round < 10; round++) {
@@ -99,11 +99,11 @@
     cluster.faults(cluster.platformPort, "{}");
   }
 
-  /** Instances are killed and frozen in turn while callers retry through the others. */
+  /** Instances are killed and suspended in turn while callers retry through the others. */
   @Test(dependsOnMethods = {"testLostRepliesRunOnce", "testRacingCallersRunOnce"})
   public void testKilledAndFrozenInstancesRunOnce() throws IOException {
     for (int round = 0; round < 6; round++) {
-      int victim = round % INSTANCES;
+      int target = round % INSTANCES;
       List<CompletableFuture<Http.Answer>> answers = new ArrayList<>();
       for (int index = 0; index < INSTANCES; index++) {
         for (int number = 0; number < 5; number++) {
@@ -112,26 +112,26 @@
       }
       boolean freeze = round % 2 == 1;
       if (freeze) {
-        cluster.signal(victim, "STOP");
+        cluster.signal(target, "STOP");
       } else {
-        cluster.kill(victim);
+        cluster.kill(target);
       }
       for (int number = 0; number < 5; number++) {
         answers.add(
             Http.sendAsync(
-                cluster.order((victim + 1) % INSTANCES, "kill-" + round + "-" + number)));
+                cluster.order((target + 1) % INSTANCES, "kill-" + round + "-" + number)));
       }
       Await.pause(1500);
       if (freeze) {
-        cluster.signal(victim, "CONT");
+        cluster.signal(target, "CONT");
       } else {
-        cluster.startEntry(victim);
+        cluster.startEntry(target);
       }
-      cluster.awaitReady(victim);
+      cluster.awaitReady(target);
       answers.forEach(answer -> answer.handle((done, failure) -> true).join());
       for (int number = 0; number < 5; number++) {
         String key = "kill-" + round + "-" + number;
-        Await.until(key + " decided", () -> isDecided(Http.send(cluster.order(victim, key))));
+        Await.until(key + " decided", () -> hasFinalOutcome(Http.send(cluster.order(target, key))));
       }
     }
     for (Map.Entry<String, Integer> run : cluster.runs().entrySet()) {
@@ -139,7 +139,7 @@
     }
   }
 
-  private static boolean isDecided(Http.Answer answer) {
+  private static boolean hasFinalOutcome(Http.Answer answer) {
     return answer.status() == 200 || answer.reason().equals("may-have-run");
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/test/BillingProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/BillingProcessTest.java
@@ -16,23 +16,23 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Shows that each request that ran is billed exactly once; the engines' records count. */
+/** Tests that each request in the engines' records is billed exactly once. */
 public class BillingProcessTest {
   private TestCluster cluster;
 
-  /** Starts the processes. */
+  /** Starts the cluster. */
   @BeforeClass
   public void start() throws IOException {
     cluster = TestCluster.start(3, 2, 1);
   }
 
-  /** Ends them. */
+  /** Stops the cluster. */
   @AfterClass(alwaysRun = true)
   public void stop() throws IOException {
     cluster.close();
   }
 
-  /** An instance is killed between intent, answer and settlement; a witness submits for it. */
+  /** An instance is killed between intent, response and settlement; a witness submits its bills. */
   @Test
   public void testRequestsOfKilledInstanceAreBilledOnce() throws IOException {
     List<CompletableFuture<Http.Answer>> answers = new ArrayList<>();
@@ -40,57 +40,58 @@
     for (int number = 0; number < 12; number++) {
       answers.add(Http.sendAsync(cluster.chat(0, "small", true, 150 + 10 * number)));
     }
-    Await.until("engines work for it", () -> cluster.records().size() >= before + 12);
+    Await.until("the engines run its requests", () -> cluster.records().size() >= before + 12);
     for (int number = 0; number < 12; number++) {
       answers.add(Http.sendAsync(cluster.chat(1, "small", number % 2 == 0, 10)));
     }
     cluster.kill(0);
     answers.forEach(answer -> answer.handle((done, failure) -> true).join());
-    awaitBilledOnce();
+    assertBilledOnce();
     cluster.startEntry(0);
     cluster.awaitReady(0);
   }
 
-  /** An instance stands still until a witness has billed for it, and then bills, too. */
+  /** An instance is suspended until a witness has billed for it, and then submits its own bills. */
   @Test(dependsOnMethods = "testRequestsOfKilledInstanceAreBilledOnce")
-  public void testFrozenInstanceAndItsWitnessBillOnce() throws IOException {
+  public void testSuspendedInstanceAndItsWitnessBillOnce() throws IOException {
     int before = cluster.records().size();
     List<CompletableFuture<Http.Answer>> answers = new ArrayList<>();
     for (int number = 0; number < 8; number++) {
       answers.add(Http.sendAsync(cluster.chat(0, "small", true, 60)));
     }
-    Await.until("engines work", () -> cluster.records().size() >= before + 8);
+    Await.until("the engines run its requests", () -> cluster.records().size() >= before + 8);
     cluster.signal(0, "STOP");
-    Await.until("witnesses bill", () -> billed(cluster.bills()).containsAll(ran()));
+    Await.until(
+        "the witnesses have billed", () -> billedIds(cluster.bills()).containsAll(idsRun()));
     cluster.signal(0, "CONT");
     answers.forEach(answer -> answer.handle((done, failure) -> true).join());
-    Await.until("nothing waits", () -> waitingBills() == 0);
-    awaitBilledOnce();
+    Await.until("no bill is pending", () -> pendingBills() == 0);
+    assertBilledOnce();
   }
 
-  private int waitingBills() throws IOException {
-    int waiting = 0;
+  private int pendingBills() throws IOException {
+    int pending = 0;
     for (int index = 0; index < 3; index++) {
       JsonNode status = Http.get(cluster.operatorPort(index), "/status").json();
-      waiting += status.path("unconfirmedBills").asInt() + status.path("heldBills").asInt();
+      pending += status.path("unconfirmedBills").asInt() + status.path("heldBills").asInt();
     }
-    return waiting;
+    return pending;
   }
 
-  /** The platform is away while requests are answered; their bills wait and are entered once. */
+  /** Bills of requests answered while the platform is unavailable are queued and entered once. */
   @Test
-  public void testBillsWaitForThePlatform() throws IOException {
+  public void testBillsAreQueuedWhilePlatformIsUnavailable() throws IOException {
     cluster.faults(cluster.platformPort, "{\"down\":-1}");
     for (int number = 0; number < 10; number++) {
       Http.Answer answer = Http.send(cluster.chat(number % 3, "small", false, 3));
       assertEquals(answer.status(), 200, answer.body());
     }
     cluster.faults(cluster.platformPort, "{\"loseReply\":2}");
-    awaitBilledOnce();
+    assertBilledOnce();
     cluster.faults(cluster.platformPort, "{}");
   }
 
-  /** A caller's retry with its key is answered from the ledger and billed once. */
+  /** A retry with the same idempotency key is answered from the ledger and billed once. */
   @Test
   public void testRetryWithKeyIsBilledOnce() throws IOException {
     Http.Answer first =
@@ -100,30 +101,30 @@
     assertEquals(first.status(), 200, first.body());
     assertEquals(second.body(), first.body());
     assertEquals(second.header("Oatlug-Replayed"), "true");
-    awaitBilledOnce();
+    assertBilledOnce();
   }
 
-  private void awaitBilledOnce() throws IOException {
-    Await.until("all billed", () -> billed(cluster.bills()).containsAll(ran()));
+  private void assertBilledOnce() throws IOException {
+    Await.until("all requests are billed", () -> billedIds(cluster.bills()).containsAll(idsRun()));
     List<JsonNode> bills = cluster.bills();
-    assertEquals(billed(bills).size(), bills.size(), "an id is billed twice");
+    assertEquals(billedIds(bills).size(), bills.size(), "an id is billed twice");
     for (JsonNode bill : bills) {
-      boolean ran = ran().contains(bill.path("id").asText());
-      assertTrue(ran || bill.path("cost").asLong() == 0, "owed, but did not run: " + bill);
+      boolean ran = idsRun().contains(bill.path("id").asText());
+      assertTrue(ran || bill.path("cost").asLong() == 0, "billed, but not run: " + bill);
     }
   }
 
-  private static TreeSet<String> billed(List<JsonNode> bills) {
+  private static TreeSet<String> billedIds(List<JsonNode> bills) {
     TreeSet<String> ids = new TreeSet<>();
     bills.forEach(bill -> ids.add(bill.path("id").asText()));
     return ids;
   }
 
-  private TreeSet<String> ran() throws IOException {
-    TreeSet<String> ran = new TreeSet<>();
+  private TreeSet<String> idsRun() throws IOException {
+    TreeSet<String> requestIds = new TreeSet<>();
     for (JsonNode record : cluster.records()) {
-      ran.add(record.path("requestId").asText());
+      requestIds.add(record.path("requestId").asText());
     }
-    return ran;
+    return requestIds;
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/test/PlatformWordsTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/PlatformWordsTest.java
@@ -15,12 +15,12 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-/** Shows that only the adapter knows the names of the users' platform, and that it stays small. */
+/** Tests that only the adapter uses the terms of the users' platform, and that it stays small. */
 public class PlatformWordsTest {
-  private static final int MOST_ADAPTER_LINES = 1500;
+  private static final int MAXIMUM_ADAPTER_LINES = 1500;
 
-  /** Names of the wire, and the platform's words for what this project names otherwise. */
-  private static final Pattern FOREIGN =
+  /** Wire names, and the platform's terms for things that this project names differently. */
+  private static final Pattern PLATFORM_TERMS =
       Pattern.compile(
           "Attempt-Id|Request-Deadline|Prefix-Hash|Token-Usage|Target-Instance|Response-Signature"
               + "|Not-Executed|Server-Load|Request-Priority|Weight-Versions|Length-Hint|Kv-|kv-"
@@ -28,13 +28,15 @@
               + "|weighted-backends|gap-aim|/objects/(config|servers|rollouts)|OATLUG_BOOT"
               + "|(?i:\\btenants?\\b|\\bmachines?\\b|\\bback.?ends?\\b)");
 
-  /** The logging library has a package that is called like the platform's word for upstreams. */
+  /** A package of the logging library, whose name is also the platform's term for an upstream. */
   private static final Pattern LIBRARY_IMPORT =
       Pattern.compile("import com\\.google\\.common\\.flogger\\.backend\\.[\\w.]+;");
 
   private static Path root() {
-    Path here = Path.of("").toAbsolutePath();
-    return here.endsWith("org.oatlug.test") ? here.getParent() : here;
+    Path workingDirectory = Path.of("").toAbsolutePath();
+    return workingDirectory.endsWith("org.oatlug.test")
+        ? workingDirectory.getParent()
+        : workingDirectory;
   }
 
   private static List<Path> sources(String directory) throws IOException {
@@ -47,19 +49,19 @@
   }
 
   @Test
-  public void testNoForeignNameStandsOutsideTheAdapter() throws IOException {
-    List<String> found = new ArrayList<>();
+  public void testPlatformTermsAreUsedOnlyInTheAdapter() throws IOException {
+    List<String> violations = new ArrayList<>();
     for (String module : List.of("org.oatlug", "org.oatlug.entry", "org.oatlug.pgm")) {
       for (Path file : sources(module)) {
         for (String line : Files.readAllLines(file)) {
-          boolean ofLibrary = LIBRARY_IMPORT.matcher(line).matches();
-          if (!ofLibrary && FOREIGN.matcher(line).find()) {
-            found.add(root().relativize(file) + ": " + line.trim());
+          boolean isLibraryImport = LIBRARY_IMPORT.matcher(line).matches();
+          if (!isLibraryImport && PLATFORM_TERMS.matcher(line).find()) {
+            violations.add(root().relativize(file) + ": " + line.trim());
           }
         }
       }
     }
-    assertEquals(found, List.of());
+    assertEquals(violations, List.of());
   }
 
   @Test
@@ -68,6 +70,6 @@
     for (Path file : sources("platform/src")) {
       lines += Files.readAllLines(file).size();
     }
-    assertTrue(lines > 0 && lines < MOST_ADAPTER_LINES, "lines " + lines);
+    assertTrue(lines > 0 && lines < MAXIMUM_ADAPTER_LINES, "lines " + lines);
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/test/PublisherTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/PublisherTest.java
@@ -30,13 +30,13 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Shows what operators are told of a publish, of bad objects and of bad settings. */
+/** Tests the results and errors that operators get for publishes, objects and settings. */
 public class PublisherTest {
   private static final ObjectKey KEY = ObjectKey.valueOf("version", "small-v1");
 
-  private static final String GOOD_VERSION =
+  private static final String VALID_VERSION =
       "{\"model\":\"m\",\"state\":\"current\",\"costPerThousandTokens\":1}";
-  private static final String GOOD_UPSTREAM =
+  private static final String VALID_UPSTREAM =
       "{\"kind\":\"engine\",\"host\":\"h\",\"port\":7001,\"zone\":\"z\",\"serves\":[\"v\"],"
           + "\"slots\":1,\"trustedRefusals\":true,\"leaving\":false}";
 
@@ -45,9 +45,9 @@
     return node.put("model", "small").put("state", state).put("costPerThousandTokens", 1);
   }
 
-  /** A write whose reply was lost is recognised when it is read back. */
+  /** A write whose response was lost is recognised when the object is read back. */
   @Test
-  public void testLostReplyIsRecognised() {
+  public void testLostResponseIsRecognised() {
     FakePlatform platform = FakePlatform.create();
     platform.waitForTest(true);
     List<Publisher.Published> results = new ArrayList<>();
@@ -63,9 +63,9 @@
     assertEquals(results.get(0).result(), Publisher.Published.Result.CREATED);
   }
 
-  /** An operator who read an older version gets a conflict that shows the object as it stands. */
+  /** A publish over an outdated revision fails with a conflict that carries the current object. */
   @Test
-  public void testLostRaceIsConflictThatShowsBoth() {
+  public void testConcurrentUpdateIsConflictWithExpectedAndCurrent() {
     FakePlatform platform = FakePlatform.create();
     Publisher publisher = Publisher.to(platform);
     publisher.publish(KEY, version("current")).await().indefinitely();
@@ -73,42 +73,43 @@
     publisher
         .publishOver(KEY, Optional.empty(), version("retiring"))
         .subscribe()
-        .with(done -> {}, failures::add);
+        .with(published -> {}, failures::add);
     ConflictException conflict = (ConflictException) failures.get(0);
     assertEquals(conflict.expected(), StoreRevision.NONE);
-    StoredObject standing = conflict.current().orElseThrow();
-    assertEquals(standing.value().path("state").asText(), "current");
+    StoredObject existing = conflict.current().orElseThrow();
+    assertEquals(existing.value().path("state").asText(), "current");
   }
 
-  /** A withdrawn version never comes back under its name. */
+  /** A withdrawn version cannot be published again under its name. */
   @Test
-  public void testWithdrawnVersionNeverComesBack() {
+  public void testWithdrawnVersionCannotBePublishedAgain() {
     FakePlatform platform = FakePlatform.create();
     Publisher publisher = Publisher.to(platform);
     publisher.publish(KEY, version("withdrawn")).await().indefinitely();
     List<Throwable> failures = new ArrayList<>();
-    publisher.publish(KEY, version("current")).subscribe().with(done -> {}, failures::add);
+    publisher.publish(KEY, version("current")).subscribe().with(published -> {}, failures::add);
     assertTrue(failures.get(0) instanceof ConfigurationInvalidException, failures.toString());
   }
 
-  /** Returns objects that are wrong and what the message has to name. */
+  /** Returns invalid objects and the text that the error message must contain. */
   @DataProvider
-  public Object[][] badObjectTable() {
+  public Object[][] invalidObjectTable() {
     return new Object[][] {
       {"policy", "{\"program\":\"model ==\"}", "policy/x.program: x:1:9"},
       {"policy", "{\"program\":\"model + 1\"}", "policy/x.program: x:1:7"},
       {"version", "{\"model\":\"m\",\"state\":\"new\",\"costPerThousandTokens\":1}", ".state"},
-      {"version", GOOD_VERSION.replace("}", ",\"x\":1}"), ".x: is unknown"},
+      {"version", VALID_VERSION.replace("}", ",\"x\":1}"), ".x: is unknown"},
       {"version", "{\"model\":\"m\",\"state\":\"current\"}", ".costPerThousandTokens: is missing"},
-      {"upstream", GOOD_UPSTREAM.replace("7001", "0"), ".port"},
+      {"upstream", VALID_UPSTREAM.replace("7001", "0"), ".port"},
       {"cascade", "{\"stages\":[],\"safeStage\":0,\"qualityTarget\":0.9}", ".stages"},
       {"nothing", "{}", "unknown kind"},
     };
   }
 
-  /** The offline check names the object, the field and, for a policy, line and column. */
+  /** The offline check reports the object, the field and, for a policy, line and column. */
   @Test(dataProvider = "badObjectTable")
-  public void testCheckNamesWhatIsWrong(String kind, String spec, String named) throws IOException {
+  public void testCheckNamesInvalidField(String kind, String spec, String expectedText)
+      throws IOException {
     Path file = Files.createTempFile("oatlug", ".json");
     String object = "{\"kind\":\"" + kind + "\",\"name\":\"x\",\"spec\":" + spec + "}";
     Files.writeString(file, "{\"objects\":[" + object + "]}");
@@ -116,12 +117,12 @@
     PrintStream out = new PrintStream(bytes);
     ExitCode code = Oatlug.run(new String[] {"check", "-f", file.toString()}, out, out);
     assertEquals(code, ExitCode.INVALID);
-    assertTrue(bytes.toString().contains(named), bytes.toString());
+    assertTrue(bytes.toString().contains(expectedText), bytes.toString());
   }
 
-  /** Both example deployments are good. */
+  /** Both example deployments are valid. */
   @Test
-  public void testExampleDeploymentsAreGood() {
+  public void testExampleDeploymentsAreValid() {
     for (String name : new String[] {"blue-mahoe", "terminal-wayfinding"}) {
       ByteArrayOutputStream bytes = new ByteArrayOutputStream();
       PrintStream out = new PrintStream(bytes);
@@ -145,9 +146,9 @@
     }
   }
 
-  /** Settings with an unknown or wrong field are refused with the path of the field. */
+  /** Settings with an unknown or invalid field are refused with the path of the field. */
   @Test
-  public void testBadSettingsNameTheField() throws IOException {
+  public void testInvalidSettingsNameTheField() throws IOException {
     Path file = Files.createTempFile("oatlug", ".json");
     Files.writeString(file, "{\"name\":\"x\",\"zoen\":\"y\",\"operators\":{\"port\":\"a\"}}");
     SettingsInvalidException failure = null;
--- a/org.oatlug.test/tst/org/oatlug/test/SettingsTemplateTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/SettingsTemplateTest.java
@@ -22,22 +22,22 @@
 import org.testng.annotations.Test;
 
 /**
- * Shows that the settings which the platform makes of the template are taken, or refused by the
- * name of the field.
+ * Tests that settings rendered from the template are accepted, or refused with the name of the
+ * field.
  *
- * <p>Symptom: no instance of a deployment started. Sequence: the session pause of its sheet was 8.5
- * seconds; the template appended three zeros to make milliseconds of it, and {@code 8.5000} is no
- * whole number. Each number of the template is tried as whole, with a fraction, zero, with an
- * exponent, missing, and as a word.
+ * <p>The template once appended three zeros to convert seconds to milliseconds. A value of 8.5
+ * seconds became {@code 8.5000}, which is no integer, and no instance started. Each number of the
+ * template is tested as an integer, with a fraction, as zero, with an exponent, missing, and as a
+ * word.
  */
 public class SettingsTemplateTest {
   private static final Path TEMPLATE = Path.of("deploy", "settings.json.template");
-  private static final Pattern LIST = Pattern.compile("\\{\\{#(\\w+)}}.*?\\{\\{/\\1}}");
-  private static final Pattern GAP = Pattern.compile("\\{\\{([\\w.-]+)}}");
+  private static final Pattern LIST_SECTION = Pattern.compile("\\{\\{#(\\w+)}}.*?\\{\\{/\\1}}");
+  private static final Pattern PLACEHOLDER = Pattern.compile("\\{\\{([\\w.-]+)}}");
   private static final String PORT = "port-range.1";
 
-  /** The numbers of the template by the name of the field in the settings. */
-  private static final Map<String, String> NUMBERS =
+  /** Placeholders of the numbers in the template, by the name of the settings field. */
+  private static final Map<String, String> NUMERIC_FIELDS =
       Map.of(
           "graceSeconds", "bounds.grace-s",
           "retryShare", "bounds.budget-ratio",
@@ -56,17 +56,23 @@
     values.put("listen.ready", "10.1.0.40:8220");
     values.put("listen.control", "10.1.0.40:8229");
     values.put("platform.address", "10.200.1.7:8223");
-    NUMBERS.values().forEach(name -> values.put(name, "1"));
+    NUMERIC_FIELDS.values().forEach(name -> values.put(name, "1"));
     return values;
   }
 
   private static GatewaySettings read(Map<String, String> values)
       throws IOException, SettingsInvalidException {
-    Path here = Path.of("").toAbsolutePath();
-    Path root = here.endsWith("org.oatlug.test") ? here.getParent() : here;
+    Path workingDirectory = Path.of("").toAbsolutePath();
+    Path root =
+        workingDirectory.endsWith("org.oatlug.test")
+            ? workingDirectory.getParent()
+            : workingDirectory;
     String template = Files.readString(root.resolve(TEMPLATE));
-    String listed = LIST.matcher(template).replaceAll("\"10.2.0.29:8229\"");
-    String text = GAP.matcher(listed).replaceAll(gap -> valueOf(values, gap.group(1)));
+    String expanded = LIST_SECTION.matcher(template).replaceAll("\"10.2.0.29:8229\"");
+    String text =
+        PLACEHOLDER
+            .matcher(expanded)
+            .replaceAll(placeholder -> valueOf(values, placeholder.group(1)));
     Path file = Files.createTempFile("settings", ".json");
     try {
       Files.writeString(file, text);
@@ -78,12 +84,14 @@
     }
   }
 
-  private static String valueOf(Map<String, String> values, String gap) {
-    assertTrue(values.containsKey(gap), "the template has a gap that is not tried: " + gap);
-    return Matcher.quoteReplacement(values.get(gap));
+  private static String valueOf(Map<String, String> values, String placeholder) {
+    assertTrue(
+        values.containsKey(placeholder),
+        "the template has a placeholder without a test value: " + placeholder);
+    return Matcher.quoteReplacement(values.get(placeholder));
   }
 
-  private static GatewaySettings with(String name, String value)
+  private static GatewaySettings readWith(String name, String value)
       throws IOException, SettingsInvalidException {
     Map<String, String> values = values();
     values.put(name, value);
@@ -92,41 +100,41 @@
 
   @DataProvider
   Object[][] bounds() {
-    return NUMBERS.entrySet().stream()
+    return NUMERIC_FIELDS.entrySet().stream()
         .filter(entry -> !entry.getValue().equals(PORT))
         .map(entry -> new Object[] {entry.getKey(), entry.getValue()})
         .toArray(Object[][]::new);
   }
 
   @Test(dataProvider = "bounds")
-  public void testNumberOfAnyFormIsTakenOrRefusedByName(String field, String gap)
+  public void testNumberIsAcceptedOrRefusedByFieldName(String field, String placeholder)
       throws IOException, SettingsInvalidException {
-    with(gap, "0");
-    with(gap, "1e0");
-    with(gap, "");
+    readWith(placeholder, "0");
+    readWith(placeholder, "1e0");
+    readWith(placeholder, "");
     for (String large : new String[] {"8", "8.5", "1e3"}) {
       if (field.equals("exposureShare")) {
-        assertRefused(field, gap, large);
+        assertRefused(field, placeholder, large);
       } else {
-        with(gap, large);
+        readWith(placeholder, large);
       }
     }
-    assertRefused(field, gap, "soon");
-    assertRefused(field, gap, "NaN");
-    assertRefused(field, gap, "-1");
+    assertRefused(field, placeholder, "soon");
+    assertRefused(field, placeholder, "NaN");
+    assertRefused(field, placeholder, "-1");
   }
 
-  private static void assertRefused(String field, String gap, String value) {
+  private static void assertRefused(String field, String placeholder, String value) {
     SettingsInvalidException refusal =
-        expectThrows(SettingsInvalidException.class, () -> with(gap, value));
+        expectThrows(SettingsInvalidException.class, () -> readWith(placeholder, value));
     assertTrue(refusal.problems().toString().contains(field), "problems " + refusal.problems());
   }
 
   @Test
-  public void testSecondsAreTakenWithTheirFraction() throws IOException, SettingsInvalidException {
-    assertEquals(with("bounds.session-s", "8.5").bounds().session(), Duration.ofMillis(8500));
-    assertEquals(with("bounds.grace-s", "1e3").bounds().grace(), Duration.ofSeconds(1000));
-    assertEquals(with("bounds.grace-s", "0").bounds().grace(), Duration.ZERO);
+  public void testFractionalSecondsAreAccepted() throws IOException, SettingsInvalidException {
+    assertEquals(readWith("bounds.session-s", "8.5").bounds().session(), Duration.ofMillis(8500));
+    assertEquals(readWith("bounds.grace-s", "1e3").bounds().grace(), Duration.ofSeconds(1000));
+    assertEquals(readWith("bounds.grace-s", "0").bounds().grace(), Duration.ZERO);
   }
 
   @Test
@@ -140,7 +148,7 @@
   }
 
   @Test
-  public void testUnknownFieldsPass() throws IOException, SettingsInvalidException {
+  public void testUnknownFieldsAreIgnored() throws IOException, SettingsInvalidException {
     GatewaySettings settings = SettingsFile.checkGateway(fileWith("\"newBound\": {\"a\": [1]}"));
     assertEquals(settings.bounds().grace(), Duration.ofSeconds(5));
   }
@@ -160,10 +168,10 @@
   }
 
   @Test
-  public void testPortIsRefusedByName() throws IOException, SettingsInvalidException {
+  public void testInvalidPortIsRefusedByFieldName() throws IOException, SettingsInvalidException {
     for (String port : new String[] {"8.5", "0", "", "some", "70000"}) {
       assertRefused("metrics", PORT, port);
     }
-    assertEquals(with(PORT, "8").metrics(), 8);
+    assertEquals(readWith(PORT, "8").metrics(), 8);
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/test/SilentConnectionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/SilentConnectionTest.java
@@ -24,35 +24,35 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Shows that a connection which goes silent without a reset is replaced by another. */
+/** Tests that a connection that stops delivering data without a reset is replaced. */
 public class SilentConnectionTest {
-  private static final Duration PATIENCE = Duration.ofMillis(300);
-  private static final long BOUND_SECONDS = 20;
+  private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(300);
+  private static final long WAIT_SECONDS = 20;
 
-  private final List<Runnable> silences = new ArrayList<>();
+  private final List<Runnable> silencers = new ArrayList<>();
   private Vertx vertx;
-  private TcpPeers caller;
-  private Member reached;
+  private TcpPeers callerNetwork;
+  private Member relayedPeer;
 
   @BeforeMethod
-  void begin() throws Exception {
+  void start() throws Exception {
     vertx = Vertx.vertx();
     int port = Ports.free();
     int relayPort = Ports.free();
-    reached = member("answering", relayPort);
+    relayedPeer = member("answering", relayPort);
     TcpPeers answering = peers(member("answering", port));
-    caller = peers(member("calling", Ports.free()));
-    wait(answering.listen());
-    wait(relay(port).listen(relayPort, "127.0.0.1"));
+    callerNetwork = peers(member("calling", Ports.free()));
+    await(answering.listen());
+    await(relay(port).listen(relayPort, "127.0.0.1"));
   }
 
   @AfterMethod(alwaysRun = true)
-  void end() {
+  void stop() {
     vertx.close();
   }
 
-  private static <T> T wait(io.vertx.core.Future<T> future) throws Exception {
-    return future.toCompletionStage().toCompletableFuture().get(BOUND_SECONDS, TimeUnit.SECONDS);
+  private static <T> T await(io.vertx.core.Future<T> future) throws Exception {
+    return future.toCompletionStage().toCompletableFuture().get(WAIT_SECONDS, TimeUnit.SECONDS);
   }
 
   private static Member member(String name, int port) {
@@ -70,68 +70,68 @@
         (from, message) -> Uni.createFrom().item(new PeerMessage.Done()));
   }
 
-  /** Passes bytes on in both directions, until a connection is silenced. */
+  /** Forwards bytes in both directions until a connection is silenced. */
   private NetServer relay(int port) {
     return vertx
         .createNetServer()
         .connectHandler(
-            inward -> {
-              inward.pause();
+            inbound -> {
+              inbound.pause();
               vertx
                   .createNetClient()
                   .connect(port, "127.0.0.1")
-                  .onSuccess(outward -> join(inward, outward));
+                  .onSuccess(outbound -> forward(inbound, outbound));
             });
   }
 
-  private void join(NetSocket inward, NetSocket outward) {
-    inward.handler(outward::write);
-    outward.handler(inward::write);
-    silences.add(
+  private void forward(NetSocket inbound, NetSocket outbound) {
+    inbound.handler(outbound::write);
+    outbound.handler(inbound::write);
+    silencers.add(
         () -> {
-          inward.handler(unused -> {});
-          outward.handler(unused -> {});
+          inbound.handler(unused -> {});
+          outbound.handler(unused -> {});
         });
-    inward.resume();
+    inbound.resume();
   }
 
   /**
-   * Pushes wait for their answer before they go past a silent instance; a connection that does not
-   * come about took two seconds, whatever the patience was.
+   * Pushes wait for a response before they skip an unresponsive instance. An attempt to connect
+   * once took two seconds, whatever the request timeout was.
    */
   @Test
-  public void testPatienceCoversTheOpeningOfTheConnection() throws Exception {
+  public void testTimeoutCoversConnectionSetup() throws Exception {
     int port = Ports.free();
-    wait(vertx.createNetServer().connectHandler(socket -> {}).listen(port, "127.0.0.1"));
-    Member mute = member("mute", port);
-    CompletableFuture<String> first = new CompletableFuture<>();
+    await(vertx.createNetServer().connectHandler(socket -> {}).listen(port, "127.0.0.1"));
+    Member unresponsive = member("mute", port);
+    CompletableFuture<String> outcome = new CompletableFuture<>();
     vertx.runOnContext(
         unused -> {
-          vertx.setTimer(1500, timer -> first.complete("the other timer"));
-          caller
-              .ask(mute, new PeerMessage.Ping(List.of()), PATIENCE)
+          vertx.setTimer(1500, timer -> outcome.complete("the timer of the test"));
+          callerNetwork
+              .ask(unresponsive, new PeerMessage.Ping(List.of()), REQUEST_TIMEOUT)
               .subscribe()
-              .with(message -> first.complete("answer"), failure -> first.complete("failure"));
+              .with(message -> outcome.complete("answer"), failure -> outcome.complete("failure"));
         });
-    assertEquals(first.get(BOUND_SECONDS, TimeUnit.SECONDS), "failure");
+    assertEquals(outcome.get(WAIT_SECONDS, TimeUnit.SECONDS), "failure");
   }
 
-  private boolean asks() throws Exception {
+  private boolean isPingAnswered() throws Exception {
     CompletableFuture<Boolean> answered = new CompletableFuture<>();
     vertx.runOnContext(
         unused ->
-            caller
-                .ask(reached, new PeerMessage.Ping(List.of()), PATIENCE)
+            callerNetwork
+                .ask(relayedPeer, new PeerMessage.Ping(List.of()), REQUEST_TIMEOUT)
                 .subscribe()
                 .with(message -> answered.complete(true), failure -> answered.complete(false)));
-    return answered.get(BOUND_SECONDS, TimeUnit.SECONDS);
+    return answered.get(WAIT_SECONDS, TimeUnit.SECONDS);
   }
 
   @Test
   public void testSilentConnectionIsReplacedByAnother() throws Exception {
-    Await.until("the first question is answered", this::asks);
-    silences.forEach(Runnable::run);
-    Await.until("a question after the silence is answered", this::asks);
-    assertTrue(silences.size() > 1, "another connection was opened");
+    Await.until("the first ping is answered", this::isPingAnswered);
+    silencers.forEach(Runnable::run);
+    Await.until("a ping after the silence is answered", this::isPingAnswered);
+    assertTrue(silencers.size() > 1, "no other connection was opened");
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/test/StopProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/StopProcessTest.java
@@ -15,31 +15,34 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Shows what planned stops, kills and leaving upstreams cost: nothing, or only what was open. */
+/**
+ * Tests that a graceful stop or a leaving upstream interrupts no request, and that a kill
+ * interrupts only the open requests of that instance.
+ */
 public class StopProcessTest {
   private static final int INSTANCES = 3;
   private TestCluster cluster;
 
-  /** Starts the processes. */
+  /** Starts the cluster. */
   @BeforeClass
   public void start() throws IOException {
     cluster = TestCluster.start(INSTANCES, 2, 1);
   }
 
-  /** Ends them. */
+  /** Stops the cluster. */
   @AfterClass(alwaysRun = true)
   public void stop() throws IOException {
     cluster.close();
   }
 
-  /** Long streams run through an instance that is stopped as planned, and callers keep coming. */
+  /** An instance is stopped gracefully while it serves long streams and new requests arrive. */
   @Test
   public void testPlannedStopCutsOffNoRequest() throws IOException {
     List<CompletableFuture<Http.Answer>> answers = new ArrayList<>();
     for (int number = 0; number < 6; number++) {
       answers.add(Http.sendAsync(cluster.chat(0, "small", true, 200)));
     }
-    Await.until("streams run", () -> openRequests(0) >= 6 && cluster.records().size() > 0);
+    Await.until("the streams are open", () -> openRequests(0) >= 6 && cluster.records().size() > 0);
     cluster.signal(0, "TERM");
     while (cluster.entry(0).isAlive()) {
       for (int index = 0; index < INSTANCES; index++) {
@@ -51,38 +54,39 @@
     }
     assertEquals(cluster.entry(0).exitValue(), 0);
     for (CompletableFuture<Http.Answer> answer : answers) {
-      Http.Answer whole = answer.join();
-      assertEquals(whole.status(), 200, whole.body());
-      assertTrue(whole.body().endsWith("data: [DONE]\n\n"), whole.body());
+      Http.Answer response = answer.join();
+      assertEquals(response.status(), 200, response.body());
+      assertTrue(response.body().endsWith("data: [DONE]\n\n"), response.body());
     }
     cluster.startEntry(0);
     cluster.awaitReady(0);
   }
 
-  /** A killed instance costs only its own open requests. */
+  /** Killing an instance interrupts only its own open requests. */
   @Test(dependsOnMethods = "testPlannedStopCutsOffNoRequest")
   public void testKilledInstanceCostsOnlyItsOwnRequests() throws IOException {
-    List<CompletableFuture<Http.Answer>> others = new ArrayList<>();
+    List<CompletableFuture<Http.Answer>> answersOfOthers = new ArrayList<>();
     for (int number = 0; number < 6; number++) {
-      others.add(Http.sendAsync(cluster.chat(1 + number % 2, "small", true, 100)));
+      answersOfOthers.add(Http.sendAsync(cluster.chat(1 + number % 2, "small", true, 100)));
       Http.sendAsync(cluster.chat(0, "small", true, 100));
     }
-    Await.until("streams run", () -> openRequests(0) >= 6);
+    Await.until("the streams are open", () -> openRequests(0) >= 6);
     cluster.kill(0);
-    for (CompletableFuture<Http.Answer> answer : others) {
+    for (CompletableFuture<Http.Answer> answer : answersOfOthers) {
       assertTrue(answer.join().body().endsWith("data: [DONE]\n\n"));
     }
     cluster.startEntry(0);
     cluster.awaitReady(0);
   }
 
-  /** An upstream that says it is leaving gets nothing new, though the published list lags. */
+  /** An upstream that reports leaving gets no new requests, although its published object lags. */
   @Test(dependsOnMethods = "testKilledInstanceCostsOnlyItsOwnRequests")
   public void testLeavingUpstreamGetsNothingNew() throws IOException {
     cluster.faults(cluster.enginePorts.get(0), "{\"leaving\":1}");
     for (int index = 0; index < INSTANCES; index++) {
       int instance = index;
-      Await.until("leaving is known", () -> knowsLeaving(instance));
+      Await.until(
+          "the instance knows that the upstream is leaving", () -> reportsLeaving(instance));
     }
     int before = Http.get(cluster.enginePorts.get(0), "/records").json().size();
     for (int number = 0; number < 60; number++) {
@@ -104,9 +108,11 @@
     return Http.get(cluster.operatorPort(index), "/status").json().path("openRequests").asInt();
   }
 
-  private boolean knowsLeaving(int index) throws IOException {
-    for (JsonNode row : Http.get(cluster.operatorPort(index), "/status").json().path("upstreams")) {
-      if (row.path("name").asText().equals("engine-0") && row.path("leaving").asBoolean()) {
+  private boolean reportsLeaving(int index) throws IOException {
+    for (JsonNode upstream :
+        Http.get(cluster.operatorPort(index), "/status").json().path("upstreams")) {
+      if (upstream.path("name").asText().equals("engine-0")
+          && upstream.path("leaving").asBoolean()) {
         return true;
       }
     }
--- a/org.oatlug.test/tst/org/oatlug/test/SuspendedMachineTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/SuspendedMachineTest.java
@@ -17,13 +17,15 @@
 import org.testng.annotations.Test;
 
 /**
- * A machine is suspended for some seconds. Its steady clock does not count them, so everything that
- * the instance knew seemed as young after them as before: with ten seconds lost, a contact with the
- * store that was eleven seconds old counted as one second old, and the watch over pauses, which
- * compares that clock with itself, saw none. That held until the process ended.
+ * Tests that the time of a suspended machine is counted.
+ *
+ * <p>The steady clock of the operating system stops during a suspension. State therefore looked
+ * younger than it was until the process ended: after a suspension of ten seconds, a contact with
+ * the store from eleven seconds ago counted as one second old. The pause detection, which compared
+ * that clock with itself, did not notice the suspension.
  */
 public class SuspendedMachineTest {
-  private static final Duration SUSPENDED = Duration.ofSeconds(10);
+  private static final Duration SUSPENSION = Duration.ofSeconds(10);
   private static final Duration SECOND = Duration.ofSeconds(1);
 
   private long steadyNanos;
@@ -32,14 +34,14 @@
   private MonotonicClock clock;
 
   @BeforeMethod
-  void begin() {
+  void start() {
     steadyNanos = 77;
     timeOfDay = Instant.parse("2026-12-02T12:00:00Z");
     sinceBoot = Optional.of(Duration.ofDays(3));
     clock = MonotonicClock.of(() -> steadyNanos, () -> timeOfDay, () -> sinceBoot);
   }
 
-  private void run(Duration time) {
+  private void advance(Duration time) {
     steadyNanos += time.toNanos();
     suspend(time);
   }
@@ -49,58 +51,59 @@
     sinceBoot = sinceBoot.map(before -> before.plus(time));
   }
 
-  private Duration shown(Runnable whatHappens) {
+  private Duration elapsedDuring(Runnable event) {
     Instant before = clock.instant();
-    whatHappens.run();
-    run(SECOND);
+    event.run();
+    advance(SECOND);
     return Duration.between(before, clock.instant());
   }
 
   @Test
-  public void testSuspensionCounts() {
-    assertEquals(shown(() -> suspend(SUSPENDED)), SUSPENDED.plus(SECOND));
-    assertEquals(shown(() -> {}), SECOND, "it counts once");
-    assertEquals(shown(() -> suspend(SUSPENDED)), SUSPENDED.plus(SECOND), "a second one");
+  public void testSuspensionIsCounted() {
+    assertEquals(elapsedDuring(() -> suspend(SUSPENSION)), SUSPENSION.plus(SECOND));
+    assertEquals(elapsedDuring(() -> {}), SECOND, "a suspension is counted once");
+    assertEquals(
+        elapsedDuring(() -> suspend(SUSPENSION)), SUSPENSION.plus(SECOND), "the second suspension");
   }
 
   @Test
-  public void testWhatWasKnownBeforeIsOldAfterwards() {
+  public void testKnowledgeAgesDuringSuspension() {
     AtomicInteger pauses = new AtomicInteger();
     final PauseWatch watch = PauseWatch.create(clock, pauses::incrementAndGet);
     Freshness freshness = Freshness.withBound(Duration.ofSeconds(5));
     freshness.learn(Duration.ZERO, clock.instant());
-    suspend(SUSPENDED);
-    run(Duration.ofMillis(100));
+    suspend(SUSPENSION);
+    advance(Duration.ofMillis(100));
     watch.check();
     assertEquals(pauses.get(), 1);
     Duration age = freshness.age(clock.instant()).orElseThrow();
-    assertTrue(age.compareTo(SUSPENDED) >= 0, "the contact seems " + age + " old");
+    assertTrue(age.compareTo(SUSPENSION) >= 0, "the contact is " + age + " old");
   }
 
   @Test
-  public void testTimeOfDayThatIsSetDoesNotCount() {
-    assertEquals(shown(() -> timeOfDay = timeOfDay.plusSeconds(3600)), SECOND);
-    assertEquals(shown(() -> timeOfDay = timeOfDay.minusSeconds(7200)), SECOND);
+  public void testSetTimeOfDayIsNotCounted() {
+    assertEquals(elapsedDuring(() -> timeOfDay = timeOfDay.plusSeconds(3600)), SECOND);
+    assertEquals(elapsedDuring(() -> timeOfDay = timeOfDay.minusSeconds(7200)), SECOND);
   }
 
   @Test
-  public void testSuspensionCountsBesideTimeOfDayThatWasSetBefore() {
-    shown(() -> timeOfDay = timeOfDay.minusSeconds(7200));
-    assertEquals(shown(() -> suspend(SUSPENDED)), SUSPENDED.plus(SECOND));
+  public void testSuspensionIsCountedAfterTimeOfDayWasSet() {
+    elapsedDuring(() -> timeOfDay = timeOfDay.minusSeconds(7200));
+    assertEquals(elapsedDuring(() -> suspend(SUSPENSION)), SUSPENSION.plus(SECOND));
   }
 
   @Test
-  public void testTimeSinceBootThatMeansSomethingElseIsNotBelieved() {
-    assertEquals(shown(() -> sinceBoot = Optional.of(Duration.ofDays(9))), SECOND);
-    assertEquals(shown(() -> sinceBoot = Optional.empty()), SECOND);
-    assertEquals(shown(() -> timeOfDay = timeOfDay.plusSeconds(5)), SECOND);
+  public void testImplausibleTimeSinceBootIsIgnored() {
+    assertEquals(elapsedDuring(() -> sinceBoot = Optional.of(Duration.ofDays(9))), SECOND);
+    assertEquals(elapsedDuring(() -> sinceBoot = Optional.empty()), SECOND);
+    assertEquals(elapsedDuring(() -> timeOfDay = timeOfDay.plusSeconds(5)), SECOND);
   }
 
   @Test
-  public void testClockNeverRunsBack() {
+  public void testClockNeverGoesBackwards() {
     Instant last = clock.instant();
     for (int round = 0; round < 200; round++) {
-      run(Duration.ofMillis(round));
+      advance(Duration.ofMillis(round));
       if (round % 7 == 0) {
         suspend(Duration.ofMillis(400L * round));
       }
--- a/org.oatlug.test/tst/org/oatlug/test/TlsProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/TlsProcessTest.java
@@ -19,19 +19,19 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Shows that callers and peers speak TLS when the settings name the files for it. */
+/** Tests that callers and peers use TLS when the settings name certificate and key files. */
 public class TlsProcessTest {
   private static final String BODY =
       "{\"model\":\"small\",\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}";
   private TestCluster cluster;
 
-  /** Starts the processes. */
+  /** Starts the cluster. */
   @BeforeClass
   public void start() throws IOException {
     cluster = TestCluster.startWithTls(2, 1, 1);
   }
 
-  /** Ends them. */
+  /** Stops the cluster. */
   @AfterClass(alwaysRun = true)
   public void stop() throws IOException {
     if (cluster != null) {
@@ -39,7 +39,7 @@
     }
   }
 
-  /** A caller that trusts the certificate is served; one without TLS is not. */
+  /** A caller that trusts the certificate is served; a caller without TLS is not. */
   @Test
   public void testCallersSpeakTls() {
     Vertx vertx = Vertx.vertx();
@@ -61,18 +61,19 @@
     assertThrows(IOException.class, () -> Http.send(cluster.chat(0, "small", false, 1)));
   }
 
-  /** Peers find each other and agree on the configuration over TLS. */
+  /** Peers discover each other and agree on the configuration over TLS. */
   @Test
   public void testPeersSpeakTls() {
-    Await.until("peers agree", () -> agrees(0) && agrees(1));
+    Await.until("the peers agree on the revision", () -> hasSameRevision(0) && hasSameRevision(1));
   }
 
-  private boolean agrees(int index) throws IOException {
+  private boolean hasSameRevision(int index) throws IOException {
     JsonNode answer =
         Http.get(cluster.operatorPort(index), "/in-force?kind=version&name=small-v1").json();
-    JsonNode versions = answer.path("instances");
-    assertTrue(versions.isObject(), answer.toString());
-    long one = versions.path(TestCluster.nameOf(0)).path("number").asLong();
-    return one > 0 && one == versions.path(TestCluster.nameOf(1)).path("number").asLong();
+    JsonNode revisions = answer.path("instances");
+    assertTrue(revisions.isObject(), answer.toString());
+    long revision = revisions.path(TestCluster.nameOf(0)).path("number").asLong();
+    return revision > 0
+        && revision == revisions.path(TestCluster.nameOf(1)).path("number").asLong();
   }
 }
