--- a/org.oatlug.test/tst/org/oatlug/test/GatewayAnswerProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/GatewayAnswerProcessTest.java
@@ -19,13 +19,15 @@
 import org.testng.annotations.Test;
 
 /**
- * Shows with processes that a caller gets the whole answer to its own request, or a true refusal.
+ * Runs separate processes and checks that a caller gets the complete response to its own request,
+ * or a refusal that states correctly whether the request ran.
  */
 public class GatewayAnswerProcessTest {
   /**
-   * Upstreams of equal cost are chosen by chance: that one of two is never asked is out of reach.
+   * Bounds the attempts until an upstream is selected. Two upstreams of equal cost are selected at
+   * random, so the probability that one is never selected is negligible.
    */
-  private static final int MOST_ROUNDS = 60;
+  private static final int MAX_ROUNDS = 60;
 
   private GatewayCluster cluster;
 
@@ -43,11 +45,11 @@
     return cluster.upstreams.get("i-" + number);
   }
 
-  private void all(Behaviour behaviour) {
-    cluster.upstreams.values().forEach(one -> one.setBehaviour(behaviour));
+  private void setBehaviourOfAll(Behaviour behaviour) {
+    cluster.upstreams.values().forEach(upstream -> upstream.setBehaviour(behaviour));
   }
 
-  private static String wholeStream(String id, long first, long events) {
+  private static String completeStream(String id, long first, long events) {
     StringBuilder text = new StringBuilder();
     for (long number = first; number < events; number++) {
       text.append(UpstreamStandin.eventText(id, number));
@@ -56,11 +58,13 @@
   }
 
   private List<Arrival> arrivals() {
-    return cluster.upstreams.values().stream().flatMap(one -> one.arrivals().stream()).toList();
+    return cluster.upstreams.values().stream()
+        .flatMap(upstream -> upstream.arrivals().stream())
+        .toList();
   }
 
   @Test
-  public void testPlainAnswerComesUnchanged() throws IOException {
+  public void testPlainResponseIsForwardedUnchanged() throws IOException {
     Http.Answer answer = Http.send(cluster.request(0, SampleObjects.REPEATABLE + "x?y=%20z"));
     assertEquals(answer.status(), 200);
     assertTrue(answer.body().startsWith("answer to " + cluster.lastId()), answer.body());
@@ -72,24 +76,24 @@
   }
 
   @Test
-  public void testRequestThatMayRunOnceIsSentOnceUnderEveryFailure() throws IOException {
+  public void testNonIdempotentRequestRunsAtMostOnceUnderEveryFailure() throws IOException {
     for (Behaviour behaviour : Behaviour.values()) {
-      all(behaviour);
+      setBehaviourOfAll(behaviour);
       int before = cluster.arrivals();
       try {
         Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
       } catch (IOException e) {
-        assertEquals(behaviour, Behaviour.CUTS, "only a cut answer ends its connection");
+        assertEquals(behaviour, Behaviour.CUTS, "only a truncated response closes its connection");
       }
       int arrived = cluster.arrivals() - before;
-      int most = behaviour == Behaviour.REFUSES ? 2 : 1;
-      assertTrue(arrived >= 1 && arrived <= most, behaviour + " arrived " + arrived);
+      int maximum = behaviour == Behaviour.REFUSES ? 2 : 1;
+      assertTrue(arrived >= 1 && arrived <= maximum, behaviour + " requests received: " + arrived);
     }
   }
 
   @Test
-  public void testLongAnswerIsHandedOnWhole() throws IOException {
-    cluster.upstreams.values().forEach(one -> one.setFillBytes(1_000_000));
+  public void testLargeResponseIsForwardedCompletely() throws IOException {
+    cluster.upstreams.values().forEach(upstream -> upstream.setFillBytes(1_000_000));
     Http.Answer answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
     assertEquals(answer.status(), 200);
     assertTrue(answer.body().length() > 1_000_000);
@@ -97,21 +101,22 @@
   }
 
   @Test
-  public void testLongAnswerThatIsCutDoesNotLookWhole() {
-    cluster.upstreams.values().forEach(one -> one.setFillBytes(1_000_000));
-    all(Behaviour.CUTS);
+  public void testTruncatedLargeResponseDoesNotLookComplete() {
+    cluster.upstreams.values().forEach(upstream -> upstream.setFillBytes(1_000_000));
+    setBehaviourOfAll(Behaviour.CUTS);
     assertThrows(IOException.class, () -> Http.send(cluster.request(0, SampleObjects.ONCE + "x")));
     int before = cluster.arrivals();
     assertThrows(
         IOException.class, () -> Http.send(cluster.request(0, SampleObjects.REPEATABLE + "x")));
-    assertEquals(cluster.arrivals(), before + 1, "nothing can replace what was handed on");
+    assertEquals(
+        cluster.arrivals(), before + 1, "a response that is partly forwarded must not be retried");
   }
 
   @Test
-  public void testPoorAnswerIsTakenWhenNoOtherUpstreamCanBeAsked() throws IOException {
+  public void testLowConfidenceResponseIsReturnedWithoutAnotherUpstream() throws IOException {
     cluster.store.delete("servers", "i-2");
     Await.until(
-        "i-2 is gone",
+        "i-2 is removed",
         () -> {
           int before = upstream(2).arrivals().size();
           for (int round = 0; round < 10; round++) {
@@ -126,7 +131,7 @@
   }
 
   @Test
-  public void testKeyStaysAndSystemHeadersAreReplaced() throws IOException {
+  public void testApiKeyIsRemovedAndSystemHeadersAreReplaced() throws IOException {
     Http.send(
         cluster
             .request(0, SampleObjects.ONCE + "x")
@@ -141,22 +146,24 @@
     assertEquals(arrival.header("Hold"), Optional.empty());
     assertEquals(arrival.header("Kv-From"), Optional.empty());
     assertEquals(arrival.header("X-Own"), Optional.of("kept"));
-    long left = Long.parseLong(arrival.header("Request-Deadline").orElse("0"));
-    assertTrue(left > 0 && left <= 2000, "no more than the route's time is left, not " + left);
+    long deadlineMillis = Long.parseLong(arrival.header("Request-Deadline").orElse("0"));
+    assertTrue(
+        deadlineMillis > 0 && deadlineMillis <= 2000,
+        "the deadline is not within the timeout of the route: " + deadlineMillis);
   }
 
   @Test
-  public void testRefusedRequestGoesToAnotherUpstream() throws IOException {
+  public void testRefusedRequestIsRetriedAtAnotherUpstream() throws IOException {
     upstream(1).setBehaviour(Behaviour.REFUSES);
-    for (int round = 0; round < MOST_ROUNDS && upstream(1).arrivals().isEmpty(); round++) {
+    for (int round = 0; round < MAX_ROUNDS && upstream(1).arrivals().isEmpty(); round++) {
       assertEquals(Http.send(cluster.request(0, SampleObjects.REPEATABLE + round)).status(), 200);
     }
-    assertTrue(upstream(1).arrivals().size() > 0, "the refusing upstream was never asked");
+    assertTrue(upstream(1).arrivals().size() > 0, "the refusing upstream never got a request");
   }
 
   @Test
-  public void testRefusalOfAllIsTrue() throws IOException {
-    all(Behaviour.REFUSES);
+  public void testRefusalByAllUpstreamsIsReportedAsNotRun() throws IOException {
+    setBehaviourOfAll(Behaviour.REFUSES);
     Http.Answer answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
     assertEquals(answer.status(), 503);
     assertEquals(answer.notRun(), "yes");
@@ -165,8 +172,8 @@
   }
 
   @Test
-  public void testRequestThatMayRunOnceIsSentOnceWhenItsAnswerIsLost() throws IOException {
-    all(Behaviour.LOSES_ANSWER);
+  public void testNonIdempotentRequestIsSentOnceWhenItsResponseIsLost() throws IOException {
+    setBehaviourOfAll(Behaviour.LOSES_ANSWER);
     Http.Answer answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
     assertEquals(answer.status(), 502);
     assertEquals(answer.notRun(), "unknown");
@@ -174,7 +181,7 @@
   }
 
   @Test
-  public void testRepeatableRequestIsAskedAgainAfterEachFailure() throws IOException {
+  public void testRepeatableRequestIsRetriedAfterEachFailure() throws IOException {
     for (Behaviour behaviour :
         List.of(
             Behaviour.FAILS, Behaviour.LOSES_ANSWER, Behaviour.CUTS, Behaviour.ANSWERS_ANOTHER)) {
@@ -190,71 +197,74 @@
   }
 
   @Test
-  public void testAnswerToAnotherRequestIsNeverHandedOn() throws IOException {
-    all(Behaviour.ANSWERS_ANOTHER);
+  public void testResponseToAnotherRequestIsNeverForwarded() throws IOException {
+    setBehaviourOfAll(Behaviour.ANSWERS_ANOTHER);
     Http.Answer answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
     assertEquals(answer.status(), 502);
     assertEquals(cluster.arrivals(), 1);
   }
 
   @Test
-  public void testStreamArrivesWholeWithSignature() throws IOException {
+  public void testStreamIsCompleteAndSigned() throws IOException {
     Http.Answer answer = Http.send(cluster.streamRequest(0, "one"));
     assertEquals(answer.status(), 200);
-    assertEquals(answer.body(), wholeStream(cluster.lastId(), 0, 5));
+    assertEquals(answer.body(), completeStream(cluster.lastId(), 0, 5));
     assertTrue(answer.header("Response-Signature").startsWith("signed-by-i-"));
   }
 
   @Test
-  public void testCutStreamGoesOnElsewhereWithEachEventOnce() throws IOException {
+  public void testTruncatedStreamResumesElsewhereWithEachEventOnce() throws IOException {
     upstream(1).setBehaviour(Behaviour.CUTS);
     upstream(1).setStream(9, 5, 3);
     upstream(2).setStream(9, 5, 99);
-    for (int round = 0; round < MOST_ROUNDS && upstream(1).arrivals().isEmpty(); round++) {
+    for (int round = 0; round < MAX_ROUNDS && upstream(1).arrivals().isEmpty(); round++) {
       Http.Answer answer = Http.send(cluster.streamRequest(0, "s" + round));
       assertEquals(answer.status(), 200);
-      assertEquals(answer.body(), wholeStream(cluster.lastId(), 0, 9));
+      assertEquals(answer.body(), completeStream(cluster.lastId(), 0, 9));
     }
-    boolean resumed = arrivals().stream().anyMatch(one -> one.header("Last-Event-Id").isPresent());
-    assertTrue(resumed, "no stream went on elsewhere");
+    boolean resumed =
+        arrivals().stream().anyMatch(arrival -> arrival.header("Last-Event-Id").isPresent());
+    assertTrue(resumed, "no stream was resumed at another upstream");
   }
 
   @Test
-  public void testStreamThatNobodyEndsNeverLooksWhole() {
-    all(Behaviour.CUTS);
+  public void testStreamThatNoUpstreamCompletesNeverLooksComplete() {
+    setBehaviourOfAll(Behaviour.CUTS);
     assertThrows(IOException.class, () -> Http.send(cluster.streamRequest(0, "one")));
   }
 
   @Test
-  public void testCallerResumesWhereItStopped() throws IOException {
+  public void testCallerResumesAfterLastEventId() throws IOException {
     Http.Answer answer = Http.send(cluster.streamRequest(0, "one").header("Last-Event-Id", "2"));
-    assertEquals(answer.body(), wholeStream(cluster.lastId(), 3, 5));
+    assertEquals(answer.body(), completeStream(cluster.lastId(), 3, 5));
   }
 
   @Test
-  public void testPoorAnswerOfSmallModelIsReplacedByLargest() throws IOException {
-    cluster.upstreams.values().forEach(one -> one.setConfidence("small", 5));
+  public void testLowConfidenceResponseOfSmallModelIsReplacedByLargest() throws IOException {
+    cluster.upstreams.values().forEach(upstream -> upstream.setConfidence("small", 5));
     Http.Answer answer = Http.send(cluster.streamRequest(0, "one"));
-    assertEquals(answer.body(), wholeStream(cluster.lastId(), 0, 5));
+    assertEquals(answer.body(), completeStream(cluster.lastId(), 0, 5));
     assertEquals(answer.header("Confidence"), "90");
     List<String> models =
-        arrivals().stream().map(one -> one.header("Model").orElse("")).sorted().toList();
+        arrivals().stream().map(arrival -> arrival.header("Model").orElse("")).sorted().toList();
     assertEquals(models, List.of("large", "small"));
   }
 
   @Test
-  public void testSilentUpstreamIsLeftForAnother() throws IOException {
+  public void testUnresponsiveUpstreamIsReplacedByAnother() throws IOException {
     upstream(1).setBehaviour(Behaviour.HANGS);
-    for (int round = 0; round < MOST_ROUNDS && upstream(1).arrivals().isEmpty(); round++) {
+    for (int round = 0; round < MAX_ROUNDS && upstream(1).arrivals().isEmpty(); round++) {
       assertEquals(Http.send(cluster.request(0, SampleObjects.REPEATABLE + round)).status(), 200);
     }
-    assertTrue(upstream(1).arrivals().size() > 0, "the silent upstream was never asked");
-    Await.until("cancelled", () -> upstream(1).cancelled() == upstream(1).arrivals().size());
+    assertTrue(upstream(1).arrivals().size() > 0, "the unresponsive upstream never got a request");
+    Await.until(
+        "every request is cancelled",
+        () -> upstream(1).cancelled() == upstream(1).arrivals().size());
   }
 
   @Test
-  public void testSilentUpstreamEndsAtTheRoutesTimeWithoutPromise() throws IOException {
-    all(Behaviour.HANGS);
+  public void testUnresponsiveUpstreamsTimeOutWithUnknownOutcome() throws IOException {
+    setBehaviourOfAll(Behaviour.HANGS);
     Http.Answer answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
     assertEquals(answer.status(), 504);
     assertEquals(answer.notRun(), "unknown");
@@ -262,7 +272,7 @@
   }
 
   @Test
-  public void testUpstreamAtReusedAddressIsLeftForAnother() throws IOException {
+  public void testUpstreamAtReusedAddressIsReplacedByAnother() throws IOException {
     cluster.register("i-0", "i-1", "v1");
     for (int round = 0; round < 8; round++) {
       assertEquals(Http.send(cluster.request(0, SampleObjects.REPEATABLE + round)).status(), 200);
@@ -270,11 +280,11 @@
   }
 
   @Test
-  public void testCountersAndHistogramsAreShown() throws IOException {
-    all(Behaviour.REFUSES);
+  public void testCountersAndHistogramsAreExported() throws IOException {
+    setBehaviourOfAll(Behaviour.REFUSES);
     Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
-    String shown = Http.get(cluster.metricsPort(0), "/metrics").body();
-    assertTrue(shown.contains("refusal_upstream_refused 1.0"), shown);
-    assertTrue(shown.contains("request_at_most_once"), shown);
+    String metrics = Http.get(cluster.metricsPort(0), "/metrics").body();
+    assertTrue(metrics.contains("refusal_upstream_refused 1.0"), metrics);
+    assertTrue(metrics.contains("request_at_most_once"), metrics);
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/test/GatewayStateProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/GatewayStateProcessTest.java
@@ -26,7 +26,9 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.Test;
 
-/** Shows with processes what instances believe of the store, and how they start and stop. */
+/**
+ * Runs separate processes and checks how instances follow the store, and how they start and stop.
+ */
 public class GatewayStateProcessTest {
   private GatewayCluster cluster;
 
@@ -41,27 +43,28 @@
     return Http.send(cluster.request(entry, SampleObjects.ONCE + "x")).status();
   }
 
-  private static JsonObject withoutKeys(long version) {
+  private static JsonObject configurationWithoutKeys(long version) {
     JsonObject configuration = SampleObjects.configuration(version);
     configuration.getJsonArray("tenants").getJsonObject(0).put("api-keys", new JsonArray());
     return configuration;
   }
 
   @Test
-  public void testRevokedKeyIsRefusedByAll() throws IOException {
+  public void testRevokedKeyIsRefusedByAllInstances() throws IOException {
     cluster = GatewayCluster.start(3, 1);
     assertEquals(status(0), 200);
-    cluster.store.put("config", "main", withoutKeys(2));
+    cluster.store.put("config", "main", configurationWithoutKeys(2));
     for (int entry = 0; entry < 3; entry++) {
-      int one = entry;
-      Await.until("the key is refused", () -> status(one) == 401);
+      int instance = entry;
+      Await.until("the key is refused", () -> status(instance) == 401);
     }
   }
 
   @Test
-  public void testInstanceWithoutConfigurationSaysComeBack() throws IOException {
+  public void testInstanceWithoutConfigurationAnswersRetryAfter() throws IOException {
     cluster = GatewayCluster.startEmpty(1);
-    Await.until("listens", () -> Http.get(cluster.readinessPort(0), "/").status() == 503);
+    Await.until(
+        "the instance listens", () -> Http.get(cluster.readinessPort(0), "/").status() == 503);
     Http.Answer answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
     assertEquals(answer.status(), 503);
     assertEquals(answer.reason(), "not-ready");
@@ -69,7 +72,7 @@
   }
 
   @Test
-  public void testInstanceStartsFromPeersWhileTheStoreIsAway() throws Exception {
+  public void testInstanceStartsFromPeersWhileStoreIsUnavailable() throws Exception {
     cluster = GatewayCluster.start(2, 1);
     for (StoreStandin.Mode mode : List.of(StoreStandin.Mode.SILENT, StoreStandin.Mode.BUSY)) {
       cluster.store.setMode(mode);
@@ -81,7 +84,7 @@
   }
 
   @Test
-  public void testLostHistoryIsReadAnewPageByPage() throws IOException {
+  public void testCompactedHistoryIsReadAgainPageByPage() throws IOException {
     cluster = GatewayCluster.start(1, 1);
     cluster.store.setPageSize(2);
     for (int number = 2; number < 7; number++) {
@@ -92,7 +95,7 @@
     for (int number = 2; number < 7; number++) {
       UpstreamStandin upstream = cluster.upstreams.get("i-" + number);
       Await.until(
-          "every upstream is used", () -> status(0) == 200 && !upstream.arrivals().isEmpty());
+          "every upstream gets requests", () -> status(0) == 200 && !upstream.arrivals().isEmpty());
     }
     int before = cluster.upstreams.get("i-1").arrivals().size();
     for (int round = 0; round < 20; round++) {
@@ -102,33 +105,34 @@
   }
 
   @Test
-  public void testUpstreamThatLeavesInGapOfWatchIsLeft() throws IOException {
+  public void testUpstreamDeletedDuringWatchGapIsExcluded() throws IOException {
     cluster = GatewayCluster.start(1, 2);
     cluster.store.deleteUnseen("servers", "i-1");
     cluster.store.compact();
-    awaitNothingMoreFor(cluster.upstreams.get("i-1"));
+    awaitNoMoreRequests(cluster.upstreams.get("i-1"));
   }
 
-  private void awaitNothingMoreFor(UpstreamStandin gone) {
+  private void awaitNoMoreRequests(UpstreamStandin removed) {
     Await.until(
-        "the upstream gets nothing more",
+        "the upstream gets no more requests",
         () -> {
-          int before = gone.arrivals().size();
+          int before = removed.arrivals().size();
           for (int round = 0; round < 10; round++) {
             status(0);
           }
-          return gone.arrivals().size() == before;
+          return removed.arrivals().size() == before;
         });
   }
 
   @Test
-  public void testStaleListBringsNoUpstreamBack() throws IOException {
+  public void testStaleListRestoresNoDeletedUpstream() throws IOException {
     cluster = GatewayCluster.start(1, 2);
     cluster.store.freezeList("servers");
     cluster.store.delete("servers", "i-1");
-    awaitNothingMoreFor(cluster.upstreams.get("i-1"));
+    awaitNoMoreRequests(cluster.upstreams.get("i-1"));
     cluster.store.compact();
-    Await.until("a list is read", () -> Files.readString(cluster.log(0)).contains("fails for"));
+    Await.until(
+        "the stale list is read", () -> Files.readString(cluster.log(0)).contains("fails for"));
     int before = cluster.upstreams.get("i-1").arrivals().size();
     for (int round = 0; round < 20; round++) {
       assertEquals(status(0), 200);
@@ -140,20 +144,20 @@
   }
 
   @Test
-  public void testSecondOrderOfVersionIsJudgedAnew() throws IOException {
+  public void testSecondRolloutOfVersionIsEvaluatedAgain() throws IOException {
     cluster = GatewayCluster.start(2, 2);
     UpstreamStandin candidate = cluster.addUpstream("n-1", "v2");
     candidate.setBehaviour(Behaviour.FAILS);
-    cluster.store.put("rollouts", SampleObjects.SERVICE, order(30));
+    cluster.store.put("rollouts", SampleObjects.SERVICE, rolloutOrder(30));
     cluster.streamUntilRolloutIs("rolled_back");
     cluster.store.delete("rollouts", SampleObjects.SERVICE);
     candidate.setBehaviour(Behaviour.SOUND);
-    cluster.store.put("rollouts", SampleObjects.SERVICE, order(10));
+    cluster.store.put("rollouts", SampleObjects.SERVICE, rolloutOrder(10));
     cluster.streamUntilRolloutIs("succeeded");
   }
 
   @Test
-  public void testDrainingUpstreamGetsNothingNewAndEndsWhatItHas() throws Exception {
+  public void testDrainingUpstreamCompletesOpenStreamsAndGetsNoNewRequests() throws Exception {
     cluster = GatewayCluster.start(1, 2);
     UpstreamStandin leaving = cluster.upstreams.get("i-1");
     leaving.setStream(30, 20, 99);
@@ -162,7 +166,7 @@
     for (int number = 0; number < 6; number++) {
       open.add(Http.sendAsync(cluster.streamRequest(0, "s" + number)));
     }
-    Await.until("streams run", () -> cluster.arrivals() == 6);
+    Await.until("streams are open", () -> cluster.arrivals() == 6);
     JsonObject entry = SampleObjects.upstream(SampleObjects.SERVICE, "127.0.0.1", 1, "v1");
     cluster.store.put("servers", "i-1", entry.put("state", "draining"));
     for (CompletableFuture<Http.Answer> answer : open) {
@@ -176,19 +180,20 @@
   }
 
   @Test
-  public void testPlannedStopUnderLoadLosesNoAnswer() throws Exception {
+  public void testGracefulStopUnderLoadLosesNoResponse() throws Exception {
     cluster = GatewayCluster.start(1, 2);
-    cluster.upstreams.values().forEach(one -> one.setStream(20, 40, 99));
+    cluster.upstreams.values().forEach(upstream -> upstream.setStream(20, 40, 99));
     List<CompletableFuture<Http.Answer>> open = new ArrayList<>();
     for (int number = 0; number < 10; number++) {
       open.add(Http.sendAsync(cluster.streamRequest(0, "s" + number)));
     }
-    Await.until("streams run", () -> cluster.arrivals() == 10);
+    Await.until("streams are open", () -> cluster.arrivals() == 10);
     cluster.signal(0, "TERM");
-    Await.until("not ready", () -> Http.get(cluster.readinessPort(0), "/").status() == 503);
-    Http.Answer late = Http.send(cluster.request(0, SampleObjects.ONCE + "late"));
-    assertEquals(late.status(), 200);
-    assertEquals(late.header("Connection"), "close");
+    Await.until(
+        "the instance is not ready", () -> Http.get(cluster.readinessPort(0), "/").status() == 503);
+    Http.Answer lateAnswer = Http.send(cluster.request(0, SampleObjects.ONCE + "late"));
+    assertEquals(lateAnswer.status(), 200);
+    assertEquals(lateAnswer.header("Connection"), "close");
     for (CompletableFuture<Http.Answer> answer : open) {
       assertEquals(answer.get(20, TimeUnit.SECONDS).status(), 200);
     }
@@ -197,35 +202,39 @@
   }
 
   @Test
-  public void testHangUpReadsSettingsAnewAndBadOnesChangeNothing() throws Exception {
+  public void testHangUpSignalReloadsSettingsAndRejectsInvalidOnes() throws Exception {
     cluster = GatewayCluster.start(1, 1);
     cluster.signal(0, "HUP");
-    Await.until("read anew", () -> Files.readString(cluster.log(0)).contains("settings read anew"));
+    Await.until(
+        "the settings are reloaded",
+        () -> Files.readString(cluster.log(0)).contains("settings read anew"));
     Files.writeString(cluster.settingsFile(0), "{}");
-    Await.until("refused", () -> Files.readString(cluster.log(0)).contains("are not taken"));
+    Await.until(
+        "the settings are rejected",
+        () -> Files.readString(cluster.log(0)).contains("are not taken"));
     assertEquals(status(0), 200);
   }
 
   @Test
-  public void testCallerThatLeavesIsCancelledAtTheUpstream() throws IOException {
+  public void testRequestOfDisconnectedCallerIsCancelledAtUpstream() throws IOException {
     cluster = GatewayCluster.start(1, 1);
     UpstreamStandin upstream = cluster.upstreams.get("i-1");
     upstream.setStream(1000, 20, 2000);
     CompletableFuture<Http.Answer> answer = Http.sendAsync(cluster.streamRequest(0, "one"));
-    Await.until("runs", () -> upstream.arrivals().size() == 1);
+    Await.until("the stream is open", () -> upstream.arrivals().size() == 1);
     answer.cancel(true);
-    Await.until("cancelled", () -> upstream.cancelled() == 1);
+    Await.until("the request is cancelled", () -> upstream.cancelled() == 1);
   }
 
   @Test
-  public void testOperatorIsToldWhereRequestGoesAndWhy() throws IOException {
+  public void testExplainCommandShowsTargetsOfRequest() throws IOException {
     cluster = GatewayCluster.start(1, 2);
     assertEquals(Http.send(cluster.streamRequest(0, "one")).status(), 200);
     JsonObject entry = SampleObjects.upstream(SampleObjects.SERVICE, "127.0.0.1", 1, "v1");
     cluster.store.put("servers", "i-1", entry.put("state", "draining"));
     String instance = "127.0.0.1:" + cluster.metricsPort(0);
     Await.until(
-        "i-1 is out",
+        "i-1 is excluded",
         () -> explain(instance, SampleObjects.STREAM).contains("\"costMillis\" : null"));
     String text = explain(instance, SampleObjects.STREAM);
     assertTrue(text.contains("\"name\" : \"i-2\""), text);
@@ -251,11 +260,11 @@
   }
 
   @Test
-  public void testGoodVersionTakesOver() throws IOException {
+  public void testHealthyVersionReplacesPreviousOne() throws IOException {
     cluster = GatewayCluster.start(2, 2);
     cluster.addUpstream("n-1", "v2");
     cluster.addUpstream("n-2", "v2");
-    cluster.store.put("rollouts", SampleObjects.SERVICE, order(4));
+    cluster.store.put("rollouts", SampleObjects.SERVICE, rolloutOrder(4));
     cluster.streamUntilRolloutIs("succeeded");
     int before = cluster.upstreams.get("i-1").arrivals().size();
     for (int round = 0; round < 5; round++) {
@@ -265,28 +274,28 @@
   }
 
   @Test
-  public void testBadVersionIsTakenBackThoughTheAnswerOfTheWriteIsLost() throws IOException {
+  public void testFailingVersionIsRolledBackThoughWriteResponseIsLost() throws IOException {
     cluster = GatewayCluster.start(2, 2);
     cluster.addUpstream("n-1", "v2").setBehaviour(Behaviour.FAILS);
     cluster.addUpstream("n-2", "v2").setBehaviour(Behaviour.FAILS);
-    cluster.store.put("rollouts", SampleObjects.SERVICE, order(30));
-    Await.until("begun", () -> cluster.rolloutState().equals("running"));
+    cluster.store.put("rollouts", SampleObjects.SERVICE, rolloutOrder(30));
+    Await.until("the roll-out is running", () -> cluster.rolloutState().equals("running"));
     cluster.store.loseWrites(1);
     cluster.streamUntilRolloutIs("rolled_back");
-    int bad =
+    int failingArrivals =
         cluster.upstreams.get("n-1").arrivals().size()
             + cluster.upstreams.get("n-2").arrivals().size();
-    assertTrue(bad < 60, "the bad version got " + bad + " requests");
+    assertTrue(failingArrivals < 60, "the failing version got " + failingArrivals + " requests");
     for (int round = 0; round < 20; round++) {
       assertEquals(Http.send(cluster.streamRequest(round % 2, "z" + round)).status(), 200);
     }
-    int after =
+    int arrivalsAfter =
         cluster.upstreams.get("n-1").arrivals().size()
             + cluster.upstreams.get("n-2").arrivals().size();
-    assertEquals(after, bad);
+    assertEquals(arrivalsAfter, failingArrivals);
   }
 
-  private static JsonObject order(int seconds) {
+  private static JsonObject rolloutOrder(int seconds) {
     return new JsonObject()
         .put("service", SampleObjects.SERVICE)
         .put("target-version", "v2")
