--- a/org.oatlug.test/tst/org/oatlug/test/CrashingRequestProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/CrashingRequestProcessTest.java
@@ -20,26 +20,25 @@
 import org.testng.annotations.Test;
 
 /**
- * A request ended each upstream that began to run it, and its caller sent it again and again, to
- * one instance after the other. 33 upstreams ended under one such request within eight seconds, all
- * of them in turn, and with each all others that were open there.
+ * Guards against a request that crashes every upstream that runs it while its caller retries it at
+ * one instance after the other. Each crash also ends all other requests that are open at the
+ * upstream; without a shared record, one such request crashed 33 upstreams within eight seconds.
  *
- * <p>Each instance forgot what had become of the request as soon as it had answered, and told
- * nobody, so that each try began anew at sound upstreams: {@code failed ANSWERING
- * HttpClosedException} at three upstreams within 340 ms, {@code outcome=refused upstream-failed
- * sent=3}, and the same at the next instance a moment later.
+ * <p>The failure comes about when an instance forgets the outcome of a request once it has
+ * responded and does not replicate it to its peers: each retry then starts at healthy upstreams,
+ * and each instance in turn crashes three of them within 340 ms before it refuses the request.
  */
 public class CrashingRequestProcessTest {
   private static final int ENTRIES = 3;
   private static final int UPSTREAMS = 8;
-  private static final String GUILTY = "ends whoever runs it";
+  private static final String CRASHING_BODY = "crashes any upstream that runs it";
   private static final long DOWN_MILLIS = 700;
 
-  /** Within this time an instance that starts has to know what the others know, by the aim. */
-  private static final long IN_TOUCH_MILLIS = 3000;
+  /** Time within which a starting instance has to hold the state of its peers. */
+  private static final long REPLICATION_MILLIS = 3000;
 
-  /** What is allowed: three upstreams, and three more while the instances tell each other. */
-  private static final int MOST_CRASHES = 6;
+  /** Allowed crashes: three upstreams, and three more until the refusal is replicated. */
+  private static final int MAX_CRASHES = 6;
 
   private GatewayCluster cluster;
 
@@ -47,7 +46,7 @@
   void start() throws IOException {
     cluster = GatewayCluster.start(ENTRIES, UPSTREAMS);
     List.copyOf(cluster.upstreams.keySet())
-        .forEach(name -> cluster.crashUnder(name, GUILTY, DOWN_MILLIS));
+        .forEach(name -> cluster.crashUnder(name, CRASHING_BODY, DOWN_MILLIS));
   }
 
   @AfterMethod(alwaysRun = true)
@@ -55,22 +54,22 @@
     cluster.close();
   }
 
-  private Http.Answer sendGuilty(int entry) throws IOException {
-    return Http.send(guilty(entry));
+  private Http.Answer sendCrashingRequest(int entry) throws IOException {
+    return Http.send(crashingRequest(entry));
   }
 
-  private HttpRequest.Builder guilty(int entry) {
+  private HttpRequest.Builder crashingRequest(int entry) {
     return cluster
         .request(entry, SampleObjects.REPEATABLE + "x")
-        .POST(HttpRequest.BodyPublishers.ofString(GUILTY));
+        .POST(HttpRequest.BodyPublishers.ofString(CRASHING_BODY));
   }
 
-  private static boolean isRefusedForGood(Http.Answer answer) {
+  private static boolean isRefusedAsCrashing(Http.Answer answer) {
     return answer.body().contains("crashes-upstreams");
   }
 
   private void awaitRefusalAt(int entry) {
-    Await.until("refused at entry-" + entry, () -> isRefusedForGood(sendGuilty(entry)));
+    Await.until("refused at entry-" + entry, () -> isRefusedAsCrashing(sendCrashingRequest(entry)));
   }
 
   @Test
@@ -79,76 +78,80 @@
       awaitRefusalAt(entry);
     }
     int crashed = cluster.crashes();
-    assertTrue(crashed <= MOST_CRASHES, crashed + " upstreams crashed");
+    assertTrue(crashed <= MAX_CRASHES, crashed + " upstreams crashed");
     for (int round = 0; round < 4 * ENTRIES; round++) {
-      Http.Answer answer = sendGuilty(round % ENTRIES);
+      Http.Answer answer = sendCrashingRequest(round % ENTRIES);
       assertEquals(answer.status(), 503);
       assertEquals(answer.notRun(), "yes");
       assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
     }
-    assertEquals(cluster.crashes(), crashed, "crashed after all instances knew");
+    assertEquals(
+        cluster.crashes(), crashed, "upstreams crashed after all instances refused the request");
   }
 
   @Test
-  public void testInstancesThatStartMeanwhileAreTold() throws Exception {
+  public void testRestartedInstancesLearnOfRefusedRequest() throws Exception {
     awaitRefusalAt(0);
-    Await.pause(IN_TOUCH_MILLIS);
+    Await.pause(REPLICATION_MILLIS);
     int crashed = cluster.crashes();
     for (int entry = 0; entry < ENTRIES; entry++) {
       cluster.process(entry).destroyForcibly().waitFor();
       cluster.startEntry(entry);
       cluster.awaitReady(entry);
-      Await.pause(IN_TOUCH_MILLIS);
-      assertTrue(isRefusedForGood(sendGuilty(entry)), "sent on by entry-" + entry);
+      Await.pause(REPLICATION_MILLIS);
+      assertTrue(isRefusedAsCrashing(sendCrashingRequest(entry)), "forwarded by entry-" + entry);
     }
-    assertEquals(cluster.crashes(), crashed, "crashed while instances restarted in turn");
+    assertEquals(cluster.crashes(), crashed, "upstreams crashed during the rolling restart");
   }
 
   @Test
-  public void testAnswersThatLivingUpstreamsLoseOrCutAccuseNobody() throws IOException {
+  public void testLostOrTruncatedResponsesOfLiveUpstreamsRefuseNoRequest() throws IOException {
     for (Behaviour behaviour : List.of(Behaviour.LOSES_ANSWER, Behaviour.CUTS)) {
-      cluster.upstreams.values().forEach(one -> one.setBehaviour(behaviour));
+      cluster.upstreams.values().forEach(upstream -> upstream.setBehaviour(behaviour));
       for (int round = 0; round < 4 * ENTRIES; round++) {
-        HttpRequest.Builder plain = cluster.request(round % ENTRIES, SampleObjects.REPEATABLE);
-        assertFalse(isRefusedForGood(Http.send(plain)), behaviour + " round " + round);
+        HttpRequest.Builder request = cluster.request(round % ENTRIES, SampleObjects.REPEATABLE);
+        assertFalse(isRefusedAsCrashing(Http.send(request)), behaviour + " round " + round);
       }
     }
   }
 
-  /** Calls the command line for the first instance and returns what it prints. */
+  /** Runs a command against the first instance and returns its output. */
   private String command(String... words) {
     return cluster.command(0, words);
   }
 
   @Test
-  public void testOperatorSeesWhatIsRefusedAndLetsItRunAgain() throws IOException {
+  public void testOperatorListsAndReleasesRefusedRequest() throws IOException {
     awaitRefusalAt(0);
-    String shown = Http.get(cluster.metricsPort(0), "/status").body();
-    assertTrue(shown.contains("REFUSED"), shown);
-    JsonNode listed = Http.get(cluster.metricsPort(0), "/status").json().path("heldRequests");
-    String fingerprint = listed.path(0).path("fingerprint").asText();
+    String status = Http.get(cluster.metricsPort(0), "/status").body();
+    assertTrue(status.contains("REFUSED"), status);
+    JsonNode heldRequests = Http.get(cluster.metricsPort(0), "/status").json().path("heldRequests");
+    String fingerprint = heldRequests.path(0).path("fingerprint").asText();
     assertTrue(command("status").contains("refused of desk"), command("status"));
     assertTrue(command("let-run", fingerprint).contains("runs again"));
     assertTrue(command("let-run", fingerprint).contains("is not held"));
     String path = "/let-run?request=" + fingerprint;
-    assertEquals(Http.get(cluster.metricsPort(0), path).status(), 404, "looking does nothing");
+    assertEquals(
+        Http.get(cluster.metricsPort(0), path).status(),
+        404,
+        "a GET request must not release the request");
     int crashed = cluster.crashes();
-    sendGuilty(0);
-    assertTrue(cluster.crashes() > crashed, "it does not run again");
+    sendCrashingRequest(0);
+    assertTrue(cluster.crashes() > crashed, "the released request was not forwarded");
   }
 
   @Test
-  public void testWhatWasOpenAtTheSameUpstreamsIsServedOn() throws IOException {
+  public void testOtherRequestsOfCrashedUpstreamsAreServed() throws IOException {
     List<CompletableFuture<Http.Answer>> open = new ArrayList<>();
-    cluster.upstreams.values().forEach(one -> one.setStream(12, 50, Integer.MAX_VALUE));
+    cluster.upstreams.values().forEach(upstream -> upstream.setStream(12, 50, Integer.MAX_VALUE));
     for (int round = 0; round < 6; round++) {
       for (int entry = 0; entry < ENTRIES; entry++) {
         HttpRequest.Builder stream = cluster.streamRequest(entry, "session-" + entry + round);
         open.add(Http.sendAsync(stream));
       }
-      sendGuilty(round % ENTRIES);
+      sendCrashingRequest(round % ENTRIES);
     }
-    open.forEach(one -> one.handle((answer, failure) -> Boolean.TRUE).join());
+    open.forEach(response -> response.handle((answer, failure) -> Boolean.TRUE).join());
     for (int entry = 0; entry < ENTRIES; entry++) {
       awaitRefusalAt(entry);
       for (int round = 0; round < 6; round++) {
--- a/org.oatlug.test/tst/org/oatlug/test/NamedLimitProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/NamedLimitProcessTest.java
@@ -18,12 +18,15 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Upstreams that named a limit for all instances together got requests as before. */
+/**
+ * Checks that all instances together keep to the request rate that an upstream announces. Guards
+ * against instances that ignore the limit and send requests at the same rate as before.
+ */
 public class NamedLimitProcessTest {
   private static final int ROUNDS = 60;
   private static final double LIMIT_PER_SECOND = 1;
 
-  /** The span for which the rule counts. */
+  /** Shortest span over which the limit is evaluated. */
   private static final Duration WINDOW = Duration.ofSeconds(4);
 
   private GatewayCluster cluster;
@@ -45,7 +48,7 @@
     return Http.send(cluster.request(entry, path)).status();
   }
 
-  private boolean isAsked(int entry) throws IOException {
+  private boolean receivesRequestFrom(int entry) throws IOException {
     int before = first.arrivals().size();
     for (int round = 0; round < ROUNDS && first.arrivals().size() == before; round++) {
       send(entry, SampleObjects.REPEATABLE + round);
@@ -53,45 +56,45 @@
     return first.arrivals().size() > before;
   }
 
-  /** What the rule allows in a span, which is never taken for less than its window. */
+  /** Returns the number of requests allowed in a span, which counts as {@link #WINDOW} at least. */
   private static double allowedIn(Duration span) {
     Duration counted = span.compareTo(WINDOW) < 0 ? WINDOW : span;
     return 1.5 * LIMIT_PER_SECOND * counted.toMillis() / 1000 + 5;
   }
 
-  /** Sends at all instances in turn, and counts what the upstream gets of it. */
-  private void assertKept(String path) throws IOException {
+  /** Sends requests to all instances in turn and checks how many the limited upstream gets. */
+  private void assertLimitKept(String path) throws IOException {
     int before = first.arrivals().size();
     long start = System.nanoTime();
     for (int round = 0; round < ROUNDS; round++) {
       for (int entry = 0; entry < instances; entry++) {
-        assertEquals(send(entry, path + round), 200, "the other upstream takes all");
+        assertEquals(
+            send(entry, path + round), 200, "the upstream without a limit serves the rest");
       }
     }
     Duration took = Duration.ofNanos(System.nanoTime() - start);
-    int got = first.arrivals().size() - before;
-    assertTrue(got <= allowedIn(took), got + " in " + took + " at " + path);
+    int received = first.arrivals().size() - before;
+    assertTrue(received <= allowedIn(took), received + " requests in " + took + " at " + path);
   }
 
-  private void nameLimit(double limit) throws IOException {
+  private void announceLimit(double limit) throws IOException {
     first.setLimit(Optional.of(Double.toString(limit)));
     for (int entry = 0; entry < instances; entry++) {
-      isAsked(entry);
+      receivesRequestFrom(entry);
     }
   }
 
   @DataProvider
-  Object[][] sizes() {
+  Object[][] instanceCounts() {
     return new Object[][] {{1}, {3}};
   }
 
-  @Test(dataProvider = "sizes")
-  public void testAllInstancesTogetherKeepToTheLimitThatAnUpstreamNamed(int size)
-      throws IOException {
+  @Test(dataProvider = "instanceCounts")
+  public void testAllInstancesTogetherKeepToLimitOfUpstream(int size) throws IOException {
     start(size);
-    nameLimit(LIMIT_PER_SECOND);
-    assertKept(SampleObjects.REPEATABLE);
-    assertKept(SampleObjects.ONCE);
+    announceLimit(LIMIT_PER_SECOND);
+    assertLimitKept(SampleObjects.REPEATABLE);
+    assertLimitKept(SampleObjects.ONCE);
   }
 
   @DataProvider
@@ -102,10 +105,10 @@
   }
 
   @Test(dataProvider = "answers")
-  public void testLimitIsReadFromEachAnswer(Behaviour behaviour) throws IOException {
+  public void testLimitIsReadFromEachResponse(Behaviour behaviour) throws IOException {
     start(1);
     first.setBehaviour(behaviour);
-    nameLimit(LIMIT_PER_SECOND);
+    announceLimit(LIMIT_PER_SECOND);
     int before = first.arrivals().size();
     for (int round = 0; round < ROUNDS; round++) {
       send(0, SampleObjects.REPEATABLE + round);
@@ -114,24 +117,24 @@
   }
 
   @Test
-  public void testUpstreamGetsRequestsWithinItsLimitAndAllOnceItHasEnded() throws IOException {
+  public void testUpstreamIsProbedUnderZeroLimitAndUsedByAllWithoutIt() throws IOException {
     start(3);
-    nameLimit(0);
+    announceLimit(0);
     int before = first.arrivals().size();
-    Await.until("a sender asks", () -> isAskedByAny(before));
+    Await.until("an instance sends a request", () -> receivesRequestFromAny(before));
     first.setLimit(Optional.empty());
-    Await.until("all ask", this::isAskedByEach);
+    Await.until("all instances send requests", this::receivesRequestFromEach);
   }
 
-  private boolean isAskedByEach() throws IOException {
-    boolean each = true;
+  private boolean receivesRequestFromEach() throws IOException {
+    boolean allAsked = true;
     for (int entry = 0; entry < instances; entry++) {
-      each &= isAsked(entry);
+      allAsked &= receivesRequestFrom(entry);
     }
-    return each;
+    return allAsked;
   }
 
-  private boolean isAskedByAny(int before) throws IOException {
+  private boolean receivesRequestFromAny(int before) throws IOException {
     for (int entry = 0; entry < instances; entry++) {
       send(entry, SampleObjects.REPEATABLE + "any");
     }
@@ -139,17 +142,17 @@
   }
 
   @Test
-  public void testAnotherStartHasNoLimit() throws IOException {
+  public void testRestartedUpstreamHasNoLimit() throws IOException {
     start(1);
     cluster.store.put("servers", "i-1", cluster.entryOf("i-1").put("born", 5));
-    nameLimit(0);
+    announceLimit(0);
     first.setLimit(Optional.empty());
     cluster.store.put("servers", "i-1", cluster.entryOf("i-1").put("born", 7));
-    Await.until("the other start is asked", () -> isAsked(0));
+    Await.until("the restarted upstream gets a request", () -> receivesRequestFrom(0));
   }
 
   @Test
-  public void testAllLimitedAreNotOverrunAndCallersReturnOneAfterTheOther() throws IOException {
+  public void testLimitedUpstreamsAreNotOverloadedAndRetriesAreSpread() throws IOException {
     start(1);
     for (UpstreamStandin upstream : cluster.upstreams.values()) {
       upstream.setLimit(Optional.of("2"));
@@ -164,36 +167,38 @@
         waits.add(Double.parseDouble(answer.header("Retry-After")));
       }
     }
-    assertTrue(cluster.arrivals() - before < ROUNDS / 2, "got " + (cluster.arrivals() - before));
-    assertTrue(waits.size() > ROUNDS / 2, "refused " + waits.size());
-    long moments = waits.stream().distinct().count();
-    assertTrue(moments > 10, "all return at " + moments + " moments");
+    assertTrue(
+        cluster.arrivals() - before < ROUNDS / 2,
+        "requests sent: " + (cluster.arrivals() - before));
+    assertTrue(waits.size() > ROUNDS / 2, "requests refused: " + waits.size());
+    long distinctWaits = waits.stream().distinct().count();
+    assertTrue(distinctWaits > 10, "Retry-After has only " + distinctWaits + " distinct values");
   }
 
   @Test
-  public void testMalformedLimitsHarmNobody() throws IOException {
+  public void testExtremeAndMalformedLimitsCauseNoFailures() throws IOException {
     start(1);
     List<String> limits =
         List.of("1000000", "0.000001", "1e400", "NaN", "some", "", "9".repeat(400), "-5");
     for (String limit : limits) {
       first.setLimit(Optional.of(limit));
-      Await.until("it is asked with limit " + limit, () -> isAsked(0));
+      Await.until("a request is sent with limit " + limit, () -> receivesRequestFrom(0));
       for (int round = 0; round < ROUNDS / 4; round++) {
         assertEquals(send(0, SampleObjects.REPEATABLE + round), 200);
       }
     }
-    String shown = Http.get(cluster.metricsPort(0), "/status").body();
-    assertTrue(shown.contains("requestsPerSecond"), shown);
+    String status = Http.get(cluster.metricsPort(0), "/status").body();
+    assertTrue(status.contains("requestsPerSecond"), status);
   }
 
-  /** The command showed nothing of a limit. */
+  /** Guards against a status command that omits the limit of an upstream. */
   @Test
-  public void testOperatorSeesTheLimitAndItsAge() throws IOException {
+  public void testStatusShowsLimitAndItsAge() throws IOException {
     start(1);
-    nameLimit(2.5);
-    String shown = cluster.command(0, "status");
+    announceLimit(2.5);
+    String status = cluster.command(0, "status");
     assertTrue(
-        shown.matches("(?s).*i-1 .*load \\d+, limit 2\\.5/s seen \\d+\\.\\d s ago.*"), shown);
-    assertTrue(!shown.matches("(?s).*i-2 [^\n]*limit.*"), shown);
+        status.matches("(?s).*i-1 .*load \\d+, limit 2\\.5/s seen \\d+\\.\\d s ago.*"), status);
+    assertTrue(!status.matches("(?s).*i-2 [^\n]*limit.*"), status);
   }
 }
