--- a/org.oatlug.test/tst/org/oatlug/test/ConfigurationProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/ConfigurationProcessTest.java
@@ -21,28 +21,28 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Shows that accepted configuration comes into force everywhere and never reverts. */
+/** Checks that accepted configuration takes effect at every instance and never reverts. */
 public class ConfigurationProcessTest {
   private static final int INSTANCES = 5;
   private TestCluster cluster;
   private final TreeMap<String, Long> published = new TreeMap<>();
-  private int names;
+  private int versionCount;
 
-  /** Starts the processes; zones hall-a and hall-b have two instances each. */
+  /** Starts the processes; the availability zones hall-a and hall-b have two instances each. */
   @BeforeClass
   public void start() throws IOException {
     cluster = TestCluster.start(INSTANCES, 3, 1);
   }
 
-  /** Ends them. */
+  /** Stops the processes. */
   @AfterClass(alwaysRun = true)
   public void stop() throws IOException {
     cluster.close();
   }
 
-  /** Mends everything. */
+  /** Removes all injected faults and waits until all instances are ready. */
   @AfterMethod(alwaysRun = true)
-  public void mend() throws IOException {
+  public void removeFaults() throws IOException {
     cluster.faults(cluster.platformPort, "{}");
     cluster.platformRelay(0).mode(Relay.Mode.PASS);
     cluster.cutZone(0, false);
@@ -51,9 +51,9 @@
     }
   }
 
-  /** Publishes a change of a version that no test used before, and returns its name. */
+  /** Publishes a version that no test has used before and returns its name. */
   private String addVersion() {
-    String name = "small-t" + names++;
+    String name = "small-t" + versionCount++;
     ExitCode code = cluster.oatlug("version", "add", name, "small", "--cost", "7");
     assertEquals(code, ExitCode.OK, cluster.lastOutput());
     String text = cluster.lastOutput().trim();
@@ -71,40 +71,41 @@
     return answer.path("instances").path(TestCluster.nameOf(index)).path("number").asLong();
   }
 
-  private void awaitEverywhere(String name) {
+  private void awaitInForceEverywhere(String name) {
     for (int index = 0; index < INSTANCES; index++) {
       int instance = index;
-      Await.until(name + " in force", () -> isInForce(instance, name));
+      Await.until(name + " is in force", () -> isInForce(instance, name));
     }
   }
 
-  /** A publish whose reply was lost is read back and recognised. */
+  /** Checks that a publish whose response is lost is recognised when it is read back. */
   @Test
-  public void testLostReplyOfPublishIsRecognised() throws IOException {
+  public void testPublishWithLostResponseIsRecognised() throws IOException {
     cluster.faults(cluster.platformPort, "{\"loseReply\":1}");
-    awaitEverywhere(addVersion());
+    awaitInForceEverywhere(addVersion());
   }
 
-  /** Watches miss changes and lists are stale; nothing reverts and all comes into force. */
+  /** Checks that no instance reverts while watches miss changes and lists are stale. */
   @Test
   public void testStaleReadsAndGapsNeverRevert() throws IOException {
     TreeMap<Integer, Long> highest = new TreeMap<>();
     String name = addVersion();
-    awaitEverywhere(name);
+    awaitInForceEverywhere(name);
     cluster.faults(cluster.platformPort, "{\"gap\":2,\"staleRead\":6}");
     for (String step : new String[] {"promote", "retire"}) {
       assertEquals(cluster.oatlug("version", step, name), ExitCode.OK, cluster.lastOutput());
-      for (int look = 0; look < 20; look++) {
-        int index = look % INSTANCES;
-        long seen = versionAt(index, name);
-        assertTrue(seen >= highest.getOrDefault(index, 0L), "reverted at " + index);
-        highest.put(index, seen);
+      for (int round = 0; round < 20; round++) {
+        int index = round % INSTANCES;
+        long number = versionAt(index, name);
+        assertTrue(
+            number >= highest.getOrDefault(index, 0L), "version reverted at instance " + index);
+        highest.put(index, number);
       }
     }
     assertEquals(cluster.oatlug("version", "promote", "small-v1", "--wait"), ExitCode.OK);
   }
 
-  /** The readers of a zone are killed while an operator publishes. */
+  /** Checks that the readers of a zone are replaced when they are killed before a publish. */
   @Test
   public void testKilledReadersAreReplaced() throws IOException {
     cluster.kill(0);
@@ -112,25 +113,25 @@
     String name = addVersion();
     for (int index = 2; index < INSTANCES; index++) {
       int instance = index;
-      Await.until(name + " in force", () -> isInForce(instance, name));
+      Await.until(name + " is in force", () -> isInForce(instance, name));
     }
     cluster.startEntry(0);
     cluster.startEntry(1);
     cluster.awaitReady(0);
     cluster.awaitReady(1);
-    awaitEverywhere(name);
+    awaitInForceEverywhere(name);
   }
 
-  /** A zone that is cut off from the platform takes changes from the other zones. */
+  /** Checks that a zone without a connection to the platform gets changes from other zones. */
   @Test
-  public void testZoneWithoutPlatformTakesChangesFromOthers() throws IOException {
+  public void testZoneWithoutPlatformGetsChangesFromOtherZones() throws IOException {
     cluster.platformRelay(0).mode(Relay.Mode.CUT);
-    awaitEverywhere(addVersion());
+    awaitInForceEverywhere(addVersion());
   }
 
-  /** A zone that is cut off wholly serves on, and takes the changes when it is joined again. */
+  /** Checks that an isolated zone continues to serve, and applies the changes once reconnected. */
   @Test
-  public void testCutZoneServesOnAndCatchesUp() throws IOException {
+  public void testIsolatedZoneContinuesToServeAndCatchesUp() throws IOException {
     cluster.platformRelay(0).mode(Relay.Mode.CUT);
     cluster.cutZone(0, true);
     String name = addVersion();
@@ -138,23 +139,25 @@
     assertFalse(isInForce(0, name));
     cluster.platformRelay(0).mode(Relay.Mode.PASS);
     cluster.cutZone(0, false);
-    awaitEverywhere(name);
+    awaitInForceEverywhere(name);
   }
 
-  /** An instance that starts while the platform is away takes the configuration of its peers. */
+  /** Checks that an instance that starts without the platform gets its peers' configuration. */
   @Test
   public void testNewInstanceStartsFromPeers() throws IOException {
     String name = addVersion();
-    awaitEverywhere(name);
+    awaitInForceEverywhere(name);
     cluster.faults(cluster.platformPort, "{\"down\":-1}");
     cluster.kill(3);
     cluster.startEntry(3);
     cluster.awaitReady(3);
-    Await.until("peers' configuration", () -> isInForce(3, name));
+    Await.until("the configuration of the peers is in force", () -> isInForce(3, name));
     assertEquals(Http.send(cluster.chat(3, "small", false, 2)).status(), 200);
   }
 
-  /** Two operators race: no change of either is overwritten unseen. */
+  /**
+   * Checks that concurrent operators get a conflict instead of overwriting each other's changes.
+   */
   @Test
   public void testRacingOperatorsSeeConflicts() throws IOException {
     String name = addVersion();
@@ -172,15 +175,16 @@
     }
     for (CompletableFuture<ExitCode> operator : operators) {
       ExitCode code = operator.join();
-      boolean typed = code == ExitCode.OK || code == ExitCode.CONFLICT || code == ExitCode.INVALID;
-      assertTrue(typed, code.toString());
+      boolean expected =
+          code == ExitCode.OK || code == ExitCode.CONFLICT || code == ExitCode.INVALID;
+      assertTrue(expected, code.toString());
     }
     cluster.oatlug("version", "promote", "small-v1");
     cluster.oatlug("version", "withdraw", name);
     assertEquals(cluster.oatlug("version", "promote", name), ExitCode.INVALID);
   }
 
-  /** A session keeps its version while another is promoted, and is refused when it is withdrawn. */
+  /** Checks that a session keeps its version while another version is promoted. */
   @Test(dependsOnMethods = "testRacingOperatorsSeeConflicts")
   public void testSessionKeepsItsVersion() throws IOException {
     Http.Answer first = Http.send(cluster.chat(0, "small", false, 1));
@@ -197,7 +201,7 @@
     assertEquals(version, "small-v1");
   }
 
-  /** A named session is bound once, whatever instance it comes to. */
+  /** Checks that a named session is bound once, whichever instances its requests reach. */
   @Test(dependsOnMethods = "testSessionKeepsItsVersion")
   public void testNamedSessionIsBoundOnce() throws IOException {
     String rollout = "named";
@@ -229,7 +233,7 @@
     cluster.oatlug("rollout", "finish", rollout, "--wait");
   }
 
-  /** A zone that is cut off gives a version under roll-out no new sessions after the bound. */
+  /** Checks that an isolated zone stops assigning new sessions to a candidate after the bound. */
   @Test(dependsOnMethods = "testNamedSessionIsBoundOnce")
   public void testCutZoneStopsCandidate() throws IOException {
     cluster.oatlug(
@@ -243,14 +247,14 @@
         "--weight",
         "100",
         "--wait");
-    Await.until("candidate used", () -> usesCandidate(0));
+    Await.until("the candidate is used", () -> usesCandidate(0));
     cluster.platformRelay(0).mode(Relay.Mode.CUT);
     cluster.cutZone(0, true);
-    Await.until("candidate stopped", () -> !usesCandidate(0));
-    assertTrue(usesCandidate(1), "the other zones go on");
+    Await.until("the candidate is no longer used", () -> !usesCandidate(0));
+    assertTrue(usesCandidate(1), "the other zones continue to use the candidate");
     cluster.platformRelay(0).mode(Relay.Mode.PASS);
     cluster.cutZone(0, false);
-    Await.until("candidate used again", () -> usesCandidate(0));
+    Await.until("the candidate is used again", () -> usesCandidate(0));
     cluster.oatlug("rollout", "finish", "cut", "--wait");
   }
 
@@ -259,9 +263,9 @@
     return answer.header("Oatlug-Version").equals("small-c");
   }
 
-  /** A version is withdrawn under load; once in force, no engine gets a request for it. */
+  /** Checks that no engine gets a request for a withdrawn version once the change is in force. */
   @Test(dependsOnMethods = "testCutZoneStopsCandidate")
-  public void testWithdrawnVersionGetsNothingNew() throws IOException {
+  public void testWithdrawnVersionGetsNoNewRequests() throws IOException {
     String next = addVersion();
     cluster.oatlug("version", "promote", next, "--wait");
     Load load = new Load();
@@ -275,9 +279,10 @@
     cluster.oatlug("version", "promote", "small-v1");
     cluster.oatlug("version", "withdraw", next);
     cluster.oatlug("version", "withdraw", next, "--wait");
-    Await.until("in force at the others", () -> isInForce(2, next));
+    Await.until("the withdrawal is in force at another instance", () -> isInForce(2, next));
     for (int index : new int[] {0, 2, 3, 4}) {
-      Await.until("withdrawn", () -> refusedAsWithdrawn(index, session));
+      Await.until(
+          "the session is refused as withdrawn", () -> isRefusedAsWithdrawn(index, session));
     }
     final long before = requestsFor(next);
     cluster.signal(1, "CONT");
@@ -285,12 +290,12 @@
       Http.send(cluster.chat(number % INSTANCES, "small", number % 3 == 0, 1));
     }
     load.stop();
-    queued.forEach(answer -> answer.handle((done, failure) -> true).join());
+    queued.forEach(answer -> answer.handle((response, failure) -> true).join());
     assertEquals(requestsFor(next), before, "a withdrawn version got a request");
-    assertTrue(refusedAsWithdrawn(1, session));
+    assertTrue(isRefusedAsWithdrawn(1, session));
   }
 
-  private boolean refusedAsWithdrawn(int index, String session) throws IOException {
+  private boolean isRefusedAsWithdrawn(int index, String session) throws IOException {
     Http.Answer answer =
         Http.send(cluster.chat(index, "small", false, 1).header("Oatlug-Session", session));
     if (answer.status() == 200) {
@@ -307,7 +312,7 @@
         .count();
   }
 
-  /** Requests from a thread of its own to the instances that are not frozen. */
+  /** Sends requests on a separate thread to the instances that are not stopped by a signal. */
   private final class Load {
     private volatile boolean running = true;
     private Thread thread;
--- a/org.oatlug.test/tst/org/oatlug/test/EvacuationProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/EvacuationProcessTest.java
@@ -15,11 +15,14 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.Test;
 
-/** Shows with processes that an emptied zone gets nothing, and that a cold upstream gets little. */
+/**
+ * Runs separate processes and checks that an evacuated zone gets no requests, and that an upstream
+ * in a cold start gets few.
+ */
 public class EvacuationProcessTest {
   private static final String ZONE_OF_FIRST = "hall-a";
   private static final String OTHER_ZONE = "hall-b";
-  private static final int ROUND = 10;
+  private static final int REQUESTS_PER_ROUND = 10;
 
   private GatewayCluster cluster;
 
@@ -30,17 +33,17 @@
     }
   }
 
-  /** Starts instances with an upstream in each of two zones. */
+  /** Starts instances and an upstream in each of two availability zones. */
   private void start(int entries) throws IOException {
     cluster = GatewayCluster.start(entries, 2);
     register("i-2", OTHER_ZONE);
     for (int entry = 0; entry < entries; entry++) {
       int port = cluster.metricsPort(entry);
-      Await.until("the second is known elsewhere", () -> zoneOfSecond(port).equals(OTHER_ZONE));
+      Await.until("i-2 is known in its zone", () -> zoneOfSecond(port).equals(OTHER_ZONE));
     }
   }
 
-  /** Returns the zone in which an instance believes the second upstream. */
+  /** Returns the zone that an instance has recorded for the second upstream, empty for none. */
   private static String zoneOfSecond(int metricsPort) throws IOException {
     for (JsonNode upstream : Http.get(metricsPort, "/status").json().path("upstreams")) {
       if (upstream.path("name").asText().equals("i-2")) {
@@ -54,7 +57,7 @@
     cluster.store.put("servers", name, cluster.entryOf(name).put("zone", zone));
   }
 
-  /** Returns what the command line shows of the first instance. */
+  /** Returns the output of the status command for the first instance. */
   private String status() {
     return cluster.command(0, "status");
   }
@@ -71,12 +74,12 @@
     return cluster.upstreams.get(name).arrivals().size();
   }
 
-  private void awaitNothingMoreAt(int entry, String name) {
+  private void awaitNoMoreRequestsAt(int entry, String name) {
     Await.until(
-        "nothing more arrives at " + name,
+        "no more requests arrive at " + name,
         () -> {
           int before = arrivedAt(name);
-          for (int request = 0; request < ROUND; request++) {
+          for (int request = 0; request < REQUESTS_PER_ROUND; request++) {
             assertEquals(send(entry), 200);
           }
           return arrivedAt(name) == before;
@@ -84,23 +87,23 @@
   }
 
   @Test
-  public void testEmptiedZoneGetsNothingUntilItIsTakenBack() throws IOException {
+  public void testEvacuatedZoneGetsNoRequestsUntilEvacuationEnds() throws IOException {
     start(2);
     cluster.store.put("evacuations", ZONE_OF_FIRST, new JsonObject());
-    awaitNothingMoreAt(0, "i-1");
-    awaitNothingMoreAt(1, "i-1");
+    awaitNoMoreRequestsAt(0, "i-1");
+    awaitNoMoreRequestsAt(1, "i-1");
     assertTrue(status().contains("emptied"), status());
     int before = arrivedAt("i-1");
     cluster.store.delete("evacuations", ZONE_OF_FIRST);
-    Await.until("the zone is used again", () -> send() == 200 && arrivedAt("i-1") > before);
+    Await.until("the zone gets requests again", () -> send() == 200 && arrivedAt("i-1") > before);
   }
 
   @Test
-  public void testAllZonesEmptiedIsRefusedAtOnceAsNotRun() throws IOException {
+  public void testRequestIsRefusedAsNotRunWhenAllZonesAreEvacuated() throws IOException {
     start(1);
     cluster.store.put("evacuations", ZONE_OF_FIRST, new JsonObject());
     cluster.store.put("evacuations", OTHER_ZONE, new JsonObject().put("odd", new JsonArray()));
-    Await.until("refused", () -> send() == 503);
+    Await.until("requests are refused", () -> send() == 503);
     int before = cluster.arrivals();
     Http.Answer answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
     assertEquals(answer.reason(), "zones-emptied");
@@ -109,31 +112,32 @@
   }
 
   @Test
-  public void testInstanceThatStartsInAnEvacuationKnowsOfItWhileTheStoreIsAway() throws Exception {
+  public void testInstanceStartsWithEvacuationOfPeersWithoutStore() throws Exception {
     start(2);
     cluster.store.put("evacuations", ZONE_OF_FIRST, new JsonObject());
-    awaitNothingMoreAt(0, "i-1");
+    awaitNoMoreRequestsAt(0, "i-1");
     cluster.store.setMode(StoreStandin.Mode.BUSY);
     cluster.process(1).destroyForcibly().waitFor();
     cluster.startEntry(1);
     cluster.awaitReady(1);
-    awaitNothingMoreAt(1, "i-1");
+    awaitNoMoreRequestsAt(1, "i-1");
   }
 
   @Test
-  public void testOtherWritersEntryGetsNothingAndTheOthersHold() throws IOException {
+  public void testUpstreamWithUnknownStateIsExcludedAndOthersAreServed() throws IOException {
     start(1);
     JsonObject entry = cluster.entryOf("i-1");
     cluster.store.put("servers", "i-1", entry.copy().put("state", "asleep"));
     cluster.store.put("servers", "odd \"name\"/ü\n", new JsonObject().put("service", 7));
-    awaitNothingMoreAt(0, "i-1");
+    awaitNoMoreRequestsAt(0, "i-1");
     int before = arrivedAt("i-1");
     cluster.store.put("servers", "i-1", entry);
-    Await.until("the entry counts again", () -> send() == 200 && arrivedAt("i-1") > before);
+    Await.until(
+        "the upstream gets requests again", () -> send() == 200 && arrivedAt("i-1") > before);
   }
 
   @Test
-  public void testOnlyUpstreamThatIsColdIsNotOverrun() throws IOException {
+  public void testSingleUpstreamInColdStartIsNotOverloaded() throws IOException {
     cluster = GatewayCluster.start(1, 1);
     JsonObject configuration = SampleObjects.configuration(2);
     configuration.getJsonArray("services").getJsonObject(0).put("cold-start-s", 3.5);
@@ -142,13 +146,13 @@
     JsonObject entry = cluster.entryOf("i-1");
     cluster.store.put("servers", "i-1", entry.put("cold-ms", 600_000));
     Await.until(
-        "refused as cold",
+        "requests are refused because of the cold start",
         () -> {
           Http.Answer answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
           return answer.status() == 503 && answer.reason().equals("upstreams-cold");
         });
     cluster.store.put("servers", "i-1", entry.put("cold-ms", 0).put("born", 1_764_720_000_000L));
     cluster.store.put("servers", "i-1", entry.put("born", 1_764_720_009_000L));
-    Await.until("the process that started anew is warm", () -> send() == 200 && send() == 200);
+    Await.until("the restarted upstream is warm", () -> send() == 200 && send() == 200);
   }
 }
