--- a/org.oatlug.test/tst/org/oatlug/test/GatewayInputProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/GatewayInputProcessTest.java
@@ -17,14 +17,22 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Shows with a process what becomes of requests that break the protocol or the limits. */
+/**
+ * Runs a separate process and checks that requests that violate the protocol or the limits are
+ * refused.
+ */
 public class GatewayInputProcessTest {
-  private static final String LINE = "POST " + SampleObjects.ONCE + "x HTTP/1.1\r\n";
-  private static final String HOST = "Host: 127.0.0.1\r\n";
-  private static final String ID = "Attempt-Id: raw-1\r\n";
-  private static final String KEY = "Authorization: Bearer " + SampleObjects.KEY + "\r\n";
-  private static final String SECOND =
-      "GET " + SampleObjects.REPEATABLE + "s HTTP/1.1\r\n" + HOST + "Attempt-Id: raw-2\r\n" + KEY;
+  private static final String REQUEST_LINE = "POST " + SampleObjects.ONCE + "x HTTP/1.1\r\n";
+  private static final String HOST_HEADER = "Host: 127.0.0.1\r\n";
+  private static final String ID_HEADER = "Attempt-Id: raw-1\r\n";
+  private static final String KEY_HEADER = "Authorization: Bearer " + SampleObjects.KEY + "\r\n";
+  private static final String SECOND_REQUEST =
+      "GET "
+          + SampleObjects.REPEATABLE
+          + "s HTTP/1.1\r\n"
+          + HOST_HEADER
+          + "Attempt-Id: raw-2\r\n"
+          + KEY_HEADER;
 
   private GatewayCluster cluster;
 
@@ -40,61 +48,125 @@
 
   @DataProvider
   Object[][] requests() {
-    String long1 = "X-Long: " + "x".repeat(5000) + "\r\n";
+    String longHeader = "X-Long: " + "x".repeat(5000) + "\r\n";
     return new Object[][] {
-      {"no key", LINE + HOST + ID + "Content-Length: 0\r\n\r\n", 401},
+      {"no key", REQUEST_LINE + HOST_HEADER + ID_HEADER + "Content-Length: 0\r\n\r\n", 401},
       {
         "unknown key",
-        LINE + HOST + ID + "Authorization: Bearer no\r\nContent-Length: 0\r\n\r\n",
+        REQUEST_LINE
+            + HOST_HEADER
+            + ID_HEADER
+            + "Authorization: Bearer no\r\nContent-Length: 0\r\n\r\n",
         401
       },
-      {"unknown path", "GET /no/ HTTP/1.1\r\n" + HOST + ID + KEY + "\r\n", 404},
-      {"unknown host", "GET /status/ HTTP/1.1\r\nHost: no\r\n" + ID + KEY + "\r\n", 404},
-      {"two hosts", LINE + HOST + "Host: other\r\n" + ID + KEY + "Content-Length: 0\r\n\r\n", 400},
+      {
+        "unknown path", "GET /no/ HTTP/1.1\r\n" + HOST_HEADER + ID_HEADER + KEY_HEADER + "\r\n", 404
+      },
+      {
+        "unknown host",
+        "GET /status/ HTTP/1.1\r\nHost: no\r\n" + ID_HEADER + KEY_HEADER + "\r\n",
+        404
+      },
+      {
+        "two hosts",
+        REQUEST_LINE
+            + HOST_HEADER
+            + "Host: other\r\n"
+            + ID_HEADER
+            + KEY_HEADER
+            + "Content-Length: 0\r\n\r\n",
+        400
+      },
       {
         "two ids",
-        LINE + HOST + ID + "Attempt-Id: raw-9\r\n" + KEY + "Content-Length: 0\r\n\r\n",
+        REQUEST_LINE
+            + HOST_HEADER
+            + ID_HEADER
+            + "Attempt-Id: raw-9\r\n"
+            + KEY_HEADER
+            + "Content-Length: 0\r\n\r\n",
         400
       },
       {
         "two lengths",
-        LINE + HOST + ID + KEY + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nab",
+        REQUEST_LINE
+            + HOST_HEADER
+            + ID_HEADER
+            + KEY_HEADER
+            + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nab",
+        400
+      },
+      {
+        "negative length",
+        REQUEST_LINE + HOST_HEADER + ID_HEADER + KEY_HEADER + "Content-Length: -1\r\n\r\n",
         400
       },
-      {"negative length", LINE + HOST + ID + KEY + "Content-Length: -1\r\n\r\n", 400},
       {
         "length and chunks",
-        LINE
-            + HOST
-            + ID
-            + KEY
+        REQUEST_LINE
+            + HOST_HEADER
+            + ID_HEADER
+            + KEY_HEADER
             + "Content-Length: 6\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
-            + SECOND
+            + SECOND_REQUEST
             + "\r\n",
         400
       },
-      {"no number as deadline", LINE + HOST + ID + KEY + "Request-Deadline: soon\r\n\r\n", 400},
+      {
+        "malformed deadline",
+        REQUEST_LINE + HOST_HEADER + ID_HEADER + KEY_HEADER + "Request-Deadline: soon\r\n\r\n",
+        400
+      },
       {
         "negative tokens",
-        LINE + HOST + ID + KEY + "Token-Usage: -5000,1\r\nContent-Length: 0\r\n\r\n",
+        REQUEST_LINE
+            + HOST_HEADER
+            + ID_HEADER
+            + KEY_HEADER
+            + "Token-Usage: -5000,1\r\nContent-Length: 0\r\n\r\n",
+        400
+      },
+      {
+        "tokens out of range",
+        REQUEST_LINE
+            + HOST_HEADER
+            + ID_HEADER
+            + KEY_HEADER
+            + "Token-Usage: 5000000000,1\r\nContent-Length: 0\r\n\r\n",
         400
       },
       {
-        "tokens beyond any number",
-        LINE + HOST + ID + KEY + "Token-Usage: 5000000000,1\r\nContent-Length: 0\r\n\r\n",
+        "negative deadline",
+        REQUEST_LINE + HOST_HEADER + ID_HEADER + KEY_HEADER + "Request-Deadline: -1\r\n\r\n",
         400
       },
-      {"negative deadline", LINE + HOST + ID + KEY + "Request-Deadline: -1\r\n\r\n", 400},
-      {"long head", LINE + HOST + ID + KEY + long1 + "Content-Length: 0\r\n\r\n", 431},
-      {"long body", LINE + HOST + ID + KEY + "Content-Length: 70000\r\n\r\nx", 413},
-      {"no request", "nonsense\r\n\r\n", 400},
-      {"half a head", LINE + HOST + "Attempt-", 408},
-      {"half a body", LINE + HOST + ID + KEY + "Content-Length: 10\r\n\r\nabc", 0},
+      {
+        "long head",
+        REQUEST_LINE
+            + HOST_HEADER
+            + ID_HEADER
+            + KEY_HEADER
+            + longHeader
+            + "Content-Length: 0\r\n\r\n",
+        431
+      },
+      {
+        "long body",
+        REQUEST_LINE + HOST_HEADER + ID_HEADER + KEY_HEADER + "Content-Length: 70000\r\n\r\nx",
+        413
+      },
+      {"malformed request line", "nonsense\r\n\r\n", 400},
+      {"incomplete head", REQUEST_LINE + HOST_HEADER + "Attempt-", 408},
+      {
+        "incomplete body",
+        REQUEST_LINE + HOST_HEADER + ID_HEADER + KEY_HEADER + "Content-Length: 10\r\n\r\nabc",
+        0
+      },
     };
   }
 
   @Test(dataProvider = "requests")
-  public void testBadRequestIsRefusedAndNotPassedOn(String name, String text, int status)
+  public void testInvalidRequestIsRefusedAndNotForwarded(String name, String text, int status)
       throws IOException {
     int before = cluster.arrivals();
     String answer = send(text);
@@ -107,7 +179,9 @@
     assertEquals(Http.send(cluster.request(0, SampleObjects.ONCE + "good")).status(), 200, name);
   }
 
-  /** Sends the bytes, closes the sending side and returns what comes back until the end. */
+  /**
+   * Sends the text and returns what is received until the connection closes or the read times out.
+   */
   private String send(String text) throws IOException {
     try (Socket socket = new Socket("127.0.0.1", cluster.callerPort(0))) {
       socket.setSoTimeout(1500);
@@ -118,17 +192,17 @@
   }
 
   private static String read(InputStream stream) {
-    StringBuilder read = new StringBuilder();
+    StringBuilder received = new StringBuilder();
     byte[] bytes = new byte[4096];
     try {
       for (int count = stream.read(bytes); count > 0; count = stream.read(bytes)) {
-        read.append(new String(bytes, 0, count, StandardCharsets.ISO_8859_1));
+        received.append(new String(bytes, 0, count, StandardCharsets.ISO_8859_1));
       }
     } catch (SocketTimeoutException e) {
-      return read.toString();
+      return received.toString();
     } catch (IOException e) {
-      return read + " " + e.getMessage();
+      return received + " " + e.getMessage();
     }
-    return read.toString();
+    return received.toString();
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/test/RestoredStoreProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/RestoredStoreProcessTest.java
@@ -15,11 +15,14 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.Test;
 
-/** Shows with processes that no configuration is lost or reverts when the store is restored. */
+/**
+ * Runs separate processes and checks that no configuration is lost or reverts when the store is
+ * restored from a copy.
+ */
 public class RestoredStoreProcessTest {
   private static final int INSTANCES = 3;
 
-  /** More writes than any test makes after the restore. */
+  /** Exceeds the number of writes that any test makes after the restore. */
   private static final int WRITES_AFTER_COPY = 200;
 
   private static final String FIRST = "/first/";
@@ -34,12 +37,12 @@
     }
   }
 
-  /** Returns a configuration with routes of its own beside the usual ones. */
+  /** Returns the sample configuration with an additional route for each path prefix. */
   private static JsonObject configuration(long version, String... prefixes) {
     JsonObject configuration = SampleObjects.configuration(version);
-    JsonObject usual = configuration.getJsonArray("routes").getJsonObject(0);
+    JsonObject sampleRoute = configuration.getJsonArray("routes").getJsonObject(0);
     for (String prefix : prefixes) {
-      JsonObject route = usual.copy().put("name", prefix).put("path-prefix", prefix);
+      JsonObject route = sampleRoute.copy().put("name", prefix).put("path-prefix", prefix);
       configuration.getJsonArray("routes").add(route);
     }
     return configuration;
@@ -49,14 +52,16 @@
     return Http.send(cluster.request(entry, path + "x")).status();
   }
 
-  private void awaitAtAll(String path, int status) {
+  private void awaitStatusEverywhere(String path, int status) {
     for (int entry = 0; entry < INSTANCES; entry++) {
-      int one = entry;
-      Await.until(path + " at entry-" + entry, () -> status(one, path) == status);
+      int instance = entry;
+      Await.until(
+          path + " has the expected status at entry-" + entry,
+          () -> status(instance, path) == status);
     }
   }
 
-  /** Starts instances, takes a copy, and lets them serve a route that the copy lacks. */
+  /** Starts instances, copies the store, then publishes a route that the copy lacks. */
   private StoreStandin.Copy startAndCopy() throws IOException {
     cluster = GatewayCluster.start(INSTANCES, 1);
     cluster.store.put("config", "main", configuration(5));
@@ -65,7 +70,7 @@
       cluster.store.put("servers", "i-1", cluster.entryOf("i-1").put("sequence", 2 + number));
     }
     cluster.store.put("config", "main", configuration(7, FIRST));
-    awaitAtAll(FIRST, 200);
+    awaitStatusEverywhere(FIRST, 200);
     return copy;
   }
 
@@ -75,16 +80,16 @@
   }
 
   @Test
-  public void testConfigurationWrittenAfterRestoreIsInForceEverywhere() throws IOException {
+  public void testConfigurationWrittenAfterRestoreTakesEffectEverywhere() throws IOException {
     StoreStandin.Copy copy = startAndCopy();
     cluster.store.restore(copy);
     rewriteConfiguration();
-    awaitAtAll(SECOND, 200);
-    awaitAtAll(FIRST, 200);
+    awaitStatusEverywhere(SECOND, 200);
+    awaitStatusEverywhere(FIRST, 200);
   }
 
   @Test
-  public void testConfigurationWrittenAfterOutageAndRestoreIsInForceEverywhere()
+  public void testConfigurationWrittenAfterOutageAndRestoreTakesEffectEverywhere()
       throws IOException {
     StoreStandin.Copy copy = startAndCopy();
     cluster.store.setMode(StoreStandin.Mode.RESET);
@@ -92,17 +97,17 @@
     cluster.store.restore(copy);
     cluster.store.setMode(StoreStandin.Mode.UP);
     rewriteConfiguration();
-    awaitAtAll(SECOND, 200);
-    awaitAtAll(FIRST, 200);
+    awaitStatusEverywhere(SECOND, 200);
+    awaitStatusEverywhere(FIRST, 200);
   }
 
   @Test
-  public void testRevokedKeyStaysRefusedOnTheCopy() throws Exception {
+  public void testRevokedKeyStaysRefusedAfterRestore() throws Exception {
     final StoreStandin.Copy copy = startAndCopy();
     JsonObject revoked = configuration(8, FIRST);
     revoked.getJsonArray("tenants").getJsonObject(0).put("api-keys", new JsonArray());
     cluster.store.put("config", "main", revoked);
-    awaitAtAll(FIRST, 401);
+    awaitStatusEverywhere(FIRST, 401);
     cluster.store.restore(copy);
     cluster.process(2).destroyForcibly().waitFor();
     cluster.startEntry(2);
@@ -112,7 +117,7 @@
     }
   }
 
-  private int arrivedAfterRounds(UpstreamStandin upstream) throws IOException {
+  private int countArrivalsOfStreams(UpstreamStandin upstream) throws IOException {
     int before = upstream.arrivals().size();
     for (int round = 0; round < 20; round++) {
       Http.send(cluster.streamRequest(round % INSTANCES, "z" + round));
@@ -121,27 +126,27 @@
   }
 
   @Test
-  public void testVersionThatWasRolledBackGetsNothingOnTheCopy() throws Exception {
+  public void testRolledBackVersionGetsNoRequestsAfterRestore() throws Exception {
     cluster = GatewayCluster.start(INSTANCES, 2);
-    UpstreamStandin bad = cluster.addUpstream("n-1", "v2");
-    bad.setBehaviour(UpstreamStandin.Behaviour.FAILS);
+    UpstreamStandin failing = cluster.addUpstream("n-1", "v2");
+    failing.setBehaviour(UpstreamStandin.Behaviour.FAILS);
     cluster.store.put("rollouts", SampleObjects.SERVICE, SampleObjects.rollout("v2", 60));
-    Await.until("begun", () -> cluster.rolloutState().equals("running"));
+    Await.until("the roll-out is running", () -> cluster.rolloutState().equals("running"));
     final StoreStandin.Copy copy = cluster.store.copy();
     cluster.streamUntilRolloutIs("rolled_back");
     cluster.store.restore(copy);
     cluster.store.put("rollouts", SampleObjects.SERVICE, SampleObjects.rollout("v2", 60));
-    assertEquals(arrivedAfterRounds(bad), 0);
-    Await.until("written again", () -> cluster.rolloutState().equals("rolled_back"));
-    assertEquals(arrivedAfterRounds(bad), 0);
+    assertEquals(countArrivalsOfStreams(failing), 0);
+    Await.until("the state is written again", () -> cluster.rolloutState().equals("rolled_back"));
+    assertEquals(countArrivalsOfStreams(failing), 0);
     cluster.process(2).destroyForcibly().waitFor();
     cluster.startEntry(2);
     cluster.awaitReady(2);
-    assertEquals(arrivedAfterRounds(bad), 0);
+    assertEquals(countArrivalsOfStreams(failing), 0);
   }
 
   @Test
-  public void testVersionThatTookOverStaysOnTheCopyThatLacksItsOrder() throws Exception {
+  public void testSucceededRolloutStaysAfterRestoreWithoutIt() throws Exception {
     cluster = GatewayCluster.start(INSTANCES, 2);
     cluster.addUpstream("n-1", "v2");
     cluster.addUpstream("n-2", "v2");
@@ -149,25 +154,27 @@
     cluster.store.put("rollouts", SampleObjects.SERVICE, SampleObjects.rollout("v2", 4));
     cluster.streamUntilRolloutIs("succeeded");
     cluster.store.restore(copy);
-    assertEquals(arrivedAfterRounds(cluster.upstreams.get("i-1")), 0);
+    assertEquals(countArrivalsOfStreams(cluster.upstreams.get("i-1")), 0);
     cluster.store.put("rollouts", SampleObjects.SERVICE, SampleObjects.rollout("v2", 4));
-    Await.until("written again", () -> cluster.rolloutState().equals("succeeded"));
-    assertEquals(arrivedAfterRounds(cluster.upstreams.get("i-1")), 0);
+    Await.until("the state is written again", () -> cluster.rolloutState().equals("succeeded"));
+    assertEquals(countArrivalsOfStreams(cluster.upstreams.get("i-1")), 0);
   }
 
   @Test
-  public void testOperatorSeesTheEpochAndWhatIsRetained() throws IOException {
+  public void testStatusShowsEpochAndRetainedEntries() throws IOException {
     final StoreStandin.Copy copy = startAndCopy();
     cluster.store.put("servers", "i-1", cluster.entryOf("i-1").put("sequence", 900));
-    Await.until("known", () -> status(0, FIRST) == 200);
+    Await.until("the route is served", () -> status(0, FIRST) == 200);
     cluster.store.restore(copy);
-    Await.until("the epoch", () -> cluster.command(0, "status").contains("epoch 2"));
     Await.until(
-        "what is retained", () -> cluster.command(0, "status").contains("retained: upstream/i-1"));
+        "the status shows the epoch", () -> cluster.command(0, "status").contains("epoch 2"));
+    Await.until(
+        "the status shows the retained entry",
+        () -> cluster.command(0, "status").contains("retained: upstream/i-1"));
   }
 
   @Test
-  public void testInstanceThatStartsOnTheCopyServesWhatOthersKnow() throws Exception {
+  public void testInstanceStartedAfterRestoreServesConfigurationOfPeers() throws Exception {
     final StoreStandin.Copy copy = startAndCopy();
     cluster.store.restore(copy);
     for (int round = 0; round < 3; round++) {
--- a/org.oatlug.test/tst/org/oatlug/test/UpstreamSaysProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/UpstreamSaysProcessTest.java
@@ -17,16 +17,19 @@
 import org.testng.annotations.Test;
 
 /**
- * Upstreams said in their answers that they leave, or asked for rest, and went on getting requests:
- * 4.2 and 4.9 s after an answer that an instance had itself passed on while the store was away, and
- * 40 requests in the three seconds of rest that an upstream had asked for.
+ * Guards against requests to an upstream whose response announced that it is draining, or asked
+ * callers to back off. Such upstreams still got requests 4.2 and 4.9 s after a response that the
+ * instance itself had forwarded while the store was unavailable, and 40 requests within a back-off
+ * of three seconds.
  *
- * <p>Nothing read either header. What an answer said was known to the attempt that got it and
- * forgotten with it: {@code refused by upstream status=503} stood 57 times in the log of one
- * instance for one upstream.
+ * <p>The failure comes about when neither response header is read beyond the attempt that received
+ * it: one instance then logged {@code refused by upstream status=503} 57 times for one upstream.
  */
 public class UpstreamSaysProcessTest {
-  /** Upstreams of equal cost are chosen by chance: so many choices never pass one over. */
+  /**
+   * Bounds the attempts until an upstream is selected. Upstreams of equal cost are selected at
+   * random, so the probability that one is never selected is negligible.
+   */
   private static final int ROUNDS = 60;
 
   private GatewayCluster cluster;
@@ -49,12 +52,12 @@
     return Http.send(cluster.request(0, path));
   }
 
-  /** Sends until an upstream has been asked once more than before. */
-  private void sendUntilAsked(UpstreamStandin upstream) throws IOException {
-    assertTrue(isAsked(upstream), upstream.name() + " was never asked");
+  /** Sends requests until an upstream gets one. */
+  private void sendUntilReceived(UpstreamStandin upstream) throws IOException {
+    assertTrue(receivesRequest(upstream), upstream.name() + " never got a request");
   }
 
-  private boolean isAsked(UpstreamStandin upstream) throws IOException {
+  private boolean receivesRequest(UpstreamStandin upstream) throws IOException {
     int before = upstream.arrivals().size();
     for (int round = 0; round < ROUNDS && upstream.arrivals().size() == before; round++) {
       send(SampleObjects.REPEATABLE + round);
@@ -78,29 +81,32 @@
   }
 
   @Test(dataProvider = "answers")
-  public void testUpstreamWhoseAnswerSaysThatItLeavesGetsNothingNew(Behaviour behaviour)
+  public void testUpstreamThatAnnouncesDrainingGetsNoNewRequests(Behaviour behaviour)
       throws IOException {
     first.setBehaviour(behaviour);
     first.setSaysLeaving(true);
-    sendUntilAsked(first);
-    assertEquals(arrivalsOf(first, SampleObjects.REPEATABLE), 0, "its entry still says ready");
+    sendUntilReceived(first);
+    assertEquals(
+        arrivalsOf(first, SampleObjects.REPEATABLE),
+        0,
+        "the upstream got requests, as its entry still says ready");
   }
 
   @Test
-  public void testStreamSaysThatItsUpstreamLeaves() throws IOException {
+  public void testStreamAnnouncesThatItsUpstreamIsDraining() throws IOException {
     first.setSaysLeaving(true);
     int before = first.arrivals().size();
     for (int round = 0; round < ROUNDS && first.arrivals().size() == before; round++) {
       Http.send(cluster.streamRequest(0, "session-" + round));
     }
-    assertTrue(first.arrivals().size() > before, "it was never asked");
+    assertTrue(first.arrivals().size() > before, "the upstream never got a request");
     assertEquals(arrivalsOf(first, SampleObjects.ONCE), 0);
   }
 
   @Test
-  public void testEntryThatSaysReadyLaterDoesNotTakeItBack() throws IOException {
+  public void testLaterReadyEntryDoesNotRevokeDraining() throws IOException {
     first.setSaysLeaving(true);
-    sendUntilAsked(first);
+    sendUntilReceived(first);
     cluster.store.put("servers", "i-1", cluster.entryOf("i-1").put("sequence", 2).put("slots", 9));
     cluster.store.delete("servers", "i-1");
     cluster.store.put("servers", "i-1", cluster.entryOf("i-1").put("sequence", 3));
@@ -108,30 +114,30 @@
   }
 
   @Test
-  public void testUpstreamThatAsksForRestGetsNone() throws IOException {
+  public void testUpstreamThatAsksForBackoffGetsNoRequests() throws IOException {
     first.setBehaviour(Behaviour.REFUSES);
     first.setRest("600");
-    sendUntilAsked(first);
+    sendUntilReceived(first);
     assertEquals(arrivalsOf(first, SampleObjects.REPEATABLE), 0);
     assertEquals(arrivalsOf(first, SampleObjects.ONCE), 0);
   }
 
   @Test
-  public void testRestEndsAndWithAnotherStart() throws IOException {
+  public void testBackoffEndsInTimeAndWithRestart() throws IOException {
     first.setBehaviour(Behaviour.REFUSES);
     first.setRest("0.05");
-    sendUntilAsked(first);
-    Await.until("asked again", () -> isAsked(first));
+    sendUntilReceived(first);
+    Await.until("the upstream gets a request again", () -> receivesRequest(first));
     first.setRest("600");
-    Await.until("it asks for a long rest", () -> isAsked(first));
+    Await.until("the upstream asks for a long back-off", () -> receivesRequest(first));
     first.setBehaviour(Behaviour.SOUND);
     cluster.store.put("servers", "i-1", cluster.entryOf("i-1").put("born", 5));
     cluster.store.put("servers", "i-1", cluster.entryOf("i-1").put("born", 7));
-    Await.until("the other start is asked", () -> isAsked(first));
+    Await.until("the restarted upstream gets a request", () -> receivesRequest(first));
   }
 
   @Test
-  public void testAllThatRestAreLeftAloneAndCallersAreToldWhen() throws IOException {
+  public void testRequestIsRefusedWithRetryAfterWhenAllUpstreamsBackOff() throws IOException {
     for (UpstreamStandin upstream : List.of(first, second)) {
       upstream.setBehaviour(Behaviour.REFUSES);
       upstream.setRest("20");
@@ -139,24 +145,26 @@
     send(SampleObjects.REPEATABLE + "x");
     send(SampleObjects.REPEATABLE + "x");
     int before = cluster.arrivals();
-    double least = Double.MAX_VALUE;
-    double most = 0;
+    double minimum = Double.MAX_VALUE;
+    double maximum = 0;
     for (int round = 0; round < ROUNDS; round++) {
       Http.Answer answer = send(SampleObjects.ONCE + round);
       assertEquals(answer.status(), 503);
       assertEquals(answer.notRun(), "yes");
       assertEquals(answer.reason(), "upstreams-rest");
       double wait = Double.parseDouble(answer.header("Retry-After"));
-      least = Math.min(least, wait);
-      most = Math.max(most, wait);
+      minimum = Math.min(minimum, wait);
+      maximum = Math.max(maximum, wait);
     }
     assertEquals(cluster.arrivals(), before);
-    assertTrue(least > 10 && most < 40, "from " + least + " to " + most);
-    assertTrue(most - least > 0.5, "all would return at once: from " + least + " to " + most);
+    assertTrue(minimum > 10 && maximum < 40, "Retry-After from " + minimum + " to " + maximum);
+    assertTrue(
+        maximum - minimum > 0.5,
+        "all callers would retry at once: from " + minimum + " to " + maximum);
   }
 
   @DataProvider
-  Object[][] oddRests() {
+  Object[][] unusualBackoffs() {
     return new Object[][] {
       {"0"},
       {"-5"},
@@ -172,15 +180,15 @@
     };
   }
 
-  @Test(dataProvider = "oddRests")
-  public void testOddRestsHarmNobody(String rest) throws IOException {
+  @Test(dataProvider = "unusualBackoffs")
+  public void testExtremeAndMalformedBackoffsCauseNoFailures(String backoff) throws IOException {
     first.setBehaviour(Behaviour.REFUSES);
-    first.setRest(rest);
-    sendUntilAsked(first);
+    first.setRest(backoff);
+    sendUntilReceived(first);
     for (int round = 0; round < ROUNDS / 4; round++) {
       assertEquals(send(SampleObjects.REPEATABLE + round).status(), 200);
     }
-    String shown = Http.get(cluster.metricsPort(0), "/status").body();
-    assertTrue(shown.contains("i-1"), shown);
+    String status = Http.get(cluster.metricsPort(0), "/status").body();
+    assertTrue(status.contains("i-1"), status);
   }
 }
