--- a/org.oatlug.test/tst/org/oatlug/test/GatewayCluster.java
+++ b/org.oatlug.test/tst/org/oatlug/test/GatewayCluster.java
@@ -28,12 +28,13 @@
 import org.oatlug.pgm.Oatlug;
 
 /**
- * A store and upstreams in this process, and entry instances that serve routed services as separate
- * processes on loopback. Used from one thread; ends what it started.
+ * Runs a store and upstreams in this process, and entry instances that serve routed services as
+ * separate processes on the loopback interface. Not thread-safe; {@link #close} stops everything
+ * that was started.
  */
 final class GatewayCluster implements AutoCloseable {
   private static final String HOST = "127.0.0.1";
-  private static final int STREAMS_BETWEEN_LOOKS = 8;
+  private static final int STREAMS_PER_CHECK = 8;
 
   private final Path directory = Files.createTempDirectory("oatlug-gateway");
   private final Vertx vertx = Vertx.vertx();
@@ -62,7 +63,9 @@
     return cluster;
   }
 
-  /** Starts a store without a configuration and instances, and waits for nothing. */
+  /**
+   * Starts a store without a configuration, and instances, and returns without waiting for them.
+   */
   static GatewayCluster startEmpty(int entryCount) throws IOException {
     GatewayCluster cluster = new GatewayCluster();
     cluster.startStore();
@@ -84,12 +87,12 @@
   }
 
   void startEntry(int entry) throws IOException {
-    List<Integer> seeds = ports.stream().map(list -> list.get(4)).toList();
+    List<Integer> seeds = ports.stream().map(instancePorts -> instancePorts.get(4)).toList();
     String name = "entry-" + entry;
     JsonObject settings = SampleObjects.settings(name, ports.get(entry), seeds);
     Path file = directory.resolve(name + ".json");
     Files.writeString(file, settings.encodePrettily());
-    // A run that was started to outlive its terminal hands an ignored hang-up down to its children.
+    // A test run under nohup ignores SIGHUP, and its child processes would inherit that.
     List<String> command = new ArrayList<>(List.of("env", "--default-signal=HUP"));
     command.add(System.getProperty("java.home") + File.separator + "bin" + File.separator + "java");
     command.addAll(List.of("-Xmx64m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-cp"));
@@ -103,7 +106,7 @@
     entries.put(entry, process);
   }
 
-  /** Returns the file that holds the log of an instance. */
+  /** Returns the log file of an instance. */
   Path log(int entry) {
     return directory.resolve("entry-" + entry + ".log");
   }
@@ -126,8 +129,8 @@
   }
 
   /**
-   * Lets an upstream crash under each request whose body has a text; it comes back as another start
-   * with a name of its own.
+   * Makes an upstream crash on each request whose body contains a text. The upstream restarts under
+   * a new name after the given time.
    */
   void crashUnder(String name, String text, long downMillis) {
     UpstreamStandin upstream = upstreams.get(name);
@@ -140,17 +143,17 @@
         });
   }
 
-  /** Returns how often upstreams crashed. */
+  /** Returns the total number of crashes of all upstreams. */
   int crashes() {
     return upstreams.values().stream().mapToInt(UpstreamStandin::crashes).sum();
   }
 
-  /** Registers a name at the address of an upstream, which may have another name. */
+  /** Registers a name at the address of an upstream, which may itself have a different name. */
   void register(String name, String atUpstream, String version) {
     store.put("servers", name, entryOf(atUpstream).put("version", version));
   }
 
-  /** Returns the entry of an upstream, as it registers itself when it is ready. */
+  /** Returns the store entry with which an upstream registers itself when it is ready. */
   JsonObject entryOf(String upstream) {
     int port = upstreamPorts.get(upstream);
     return SampleObjects.upstream(SampleObjects.SERVICE, HOST, port, "v1");
@@ -184,7 +187,7 @@
     new ProcessBuilder("kill", "-" + signal, pid).start().waitFor();
   }
 
-  /** Returns a request with the headers that every caller sends; each has an id of its own. */
+  /** Returns a request with the headers that every caller sends and a unique id. */
   HttpRequest.Builder request(int entry, String path) {
     requests++;
     return Http.to(callerPort(entry), path)
@@ -194,27 +197,29 @@
         .POST(HttpRequest.BodyPublishers.ofString("a body"));
   }
 
-  /** Returns a request for a stream of a session. */
+  /** Returns a request for a stream that belongs to a session. */
   HttpRequest.Builder streamRequest(int entry, String session) {
-    String own = Integer.toHexString(session.hashCode());
+    String sessionPrefix = Integer.toHexString(session.hashCode());
     return request(entry, SampleObjects.STREAM + "x")
         .header("Model", "*")
         .header("Token-Usage", "100,50")
-        .header("Prefix-Hash", "a1:60," + own + ":40");
+        .header("Prefix-Hash", "a1:60," + sessionPrefix + ":40");
   }
 
-  /** Returns the state that the instances wrote of the roll-out of the service, empty for none. */
+  /** Returns the state of the roll-out that the instances wrote to the store, empty for none. */
   String rolloutState() {
     return store.status("rollouts", SampleObjects.SERVICE).getString("state", "");
   }
 
-  /** Sends streams of ever new sessions to all instances until the roll-out is in the state. */
+  /**
+   * Sends streams, each of a new session, to all instances in turn until the roll-out has a state.
+   */
   void streamUntilRolloutIs(String state) {
     int[] number = {0};
     Await.until(
         state,
         () -> {
-          for (int round = 0; round < STREAMS_BETWEEN_LOOKS; round++) {
+          for (int round = 0; round < STREAMS_PER_CHECK; round++) {
             number[0]++;
             Http.send(streamRequest(number[0] % ports.size(), "s" + number[0]));
           }
@@ -222,24 +227,24 @@
         });
   }
 
-  /** Returns what the command line prints when an operator asks an instance. */
+  /** Runs a command against an instance and returns its output. */
   String command(int entry, String... words) {
-    List<String> all = new ArrayList<>(List.of(words));
-    all.addAll(List.of("--instance", HOST + ":" + metricsPort(entry)));
+    List<String> arguments = new ArrayList<>(List.of(words));
+    arguments.addAll(List.of("--instance", HOST + ":" + metricsPort(entry)));
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    PrintStream out = new PrintStream(bytes, true, StandardCharsets.UTF_8);
-    assertEquals(Oatlug.run(all.toArray(new String[0]), out, out), ExitCode.OK);
+    PrintStream output = new PrintStream(bytes, true, StandardCharsets.UTF_8);
+    assertEquals(Oatlug.run(arguments.toArray(new String[0]), output, output), ExitCode.OK);
     return bytes.toString(StandardCharsets.UTF_8);
   }
 
-  /** Returns the id of the request that was made last. */
+  /** Returns the id of the latest request. */
   String lastId() {
     return "request-" + requests;
   }
 
-  /** Returns how many requests arrived at all upstreams. */
+  /** Returns the number of requests that all upstreams received. */
   int arrivals() {
-    return upstreams.values().stream().mapToInt(one -> one.arrivals().size()).sum();
+    return upstreams.values().stream().mapToInt(upstream -> upstream.arrivals().size()).sum();
   }
 
   @Override
--- a/org.oatlug.test/tst/org/oatlug/test/TestCluster.java
+++ b/org.oatlug.test/tst/org/oatlug/test/TestCluster.java
@@ -29,9 +29,10 @@
 import org.oatlug.standin.Relay;
 
 /**
- * A platform, engines, services, a rating and entry instances as separate processes on loopback,
- * with a relay before each instance's peers' port and one before the platform for each availability
- * zone. Used from one thread; ends what it started.
+ * Runs a platform, engines, services, a rating service and entry instances as separate processes on
+ * the loopback interface, with a relay in front of the peer port of each instance, and one in front
+ * of the platform for each availability zone. Not thread-safe; {@link #close} stops everything that
+ * was started.
  */
 final class TestCluster implements AutoCloseable {
   static final String KEY = "key-of-the-desk";
@@ -43,13 +44,13 @@
 
   private final Path directory;
   private final Vertx vertx = Vertx.vertx();
-  private final List<Process> others = new ArrayList<>();
+  private final List<Process> standins = new ArrayList<>();
   private final Map<Integer, Process> entries = new TreeMap<>();
   private final Map<Integer, Relay> peerRelays = new TreeMap<>();
   private final Map<String, Relay> platformRelays = new TreeMap<>();
   private final Map<String, Integer> platformPorts = new TreeMap<>();
   private final List<int[]> entryPorts = new ArrayList<>();
-  private final List<Integer> advertised = new ArrayList<>();
+  private final List<Integer> advertisedPorts = new ArrayList<>();
   final int platformPort = Ports.free();
   final int ratingPort = Ports.free();
   final List<Integer> enginePorts = new ArrayList<>();
@@ -59,12 +60,14 @@
     this.directory = directory;
   }
 
-  /** Starts a cluster; instance numbers count from 0, zones go round. */
+  /**
+   * Starts a cluster. Instances are numbered from 0 and assigned to the availability zones in turn.
+   */
   static TestCluster start(int entryCount, int engineCount, int serviceCount) throws IOException {
     return startWith(entryCount, engineCount, serviceCount, false);
   }
 
-  /** Starts a cluster whose callers and peers speak TLS. */
+  /** Starts a cluster whose callers and peers use TLS. */
   static TestCluster startWithTls(int entryCount, int engineCount, int serviceCount)
       throws IOException {
     return startWith(entryCount, engineCount, serviceCount, true);
@@ -108,18 +111,18 @@
     standin("rating", List.of(ratingPort));
     standin("engine", enginePorts);
     standin("service", servicePorts);
-    Await.until("platform up", () -> Http.get(platformPort, "/instances").status() == 200);
+    Await.until("the platform is up", () -> Http.get(platformPort, "/instances").status() == 200);
     for (int port : enginePorts) {
-      Await.until("engine up", () -> Http.get(port, "/load").status() == 200);
+      Await.until("the engine is up", () -> Http.get(port, "/load").status() == 200);
     }
     for (int port : servicePorts) {
-      Await.until("service up", () -> Http.get(port, "/load").status() == 200);
+      Await.until("the service is up", () -> Http.get(port, "/load").status() == 200);
     }
   }
 
   private void standin(String kind, List<Integer> ports) throws IOException {
     String list = String.join(",", ports.stream().map(String::valueOf).toList());
-    others.add(
+    standins.add(
         java(
             "org.oatlug.standin.Standin",
             kind,
@@ -135,13 +138,17 @@
     ArrayNode list = Json.STRICT.createArrayNode();
     for (int index = 0; index < count; index++) {
       entryPorts.add(new int[] {Ports.free(), Ports.free(), Ports.free()});
-      advertised.add(Ports.free());
+      advertisedPorts.add(Ports.free());
       Relay relay = Relay.to(vertx, addressOf(index), entryPorts.get(index)[2]);
-      relay.listen(HOST, advertised.get(index)).toCompletionStage().toCompletableFuture().join();
+      relay
+          .listen(HOST, advertisedPorts.get(index))
+          .toCompletionStage()
+          .toCompletableFuture()
+          .join();
       peerRelays.put(index, relay);
       ObjectNode node = list.addObject();
       node.put("name", nameOf(index)).put("zone", zoneOf(index)).put("rack", "rack-" + index);
-      node.put("host", HOST).put("peerPort", advertised.get(index)).put("leaving", false);
+      node.put("host", HOST).put("peerPort", advertisedPorts.get(index)).put("leaving", false);
     }
     for (String zone : ZONES) {
       Relay relay = Relay.to(vertx, HOST, platformPort);
@@ -160,12 +167,12 @@
     return "entry-" + index;
   }
 
-  /** Returns the loopback address of an instance, which tells its zone to the relays. */
+  /** Returns the loopback address of an instance, from which the relays derive its zone. */
   private static String addressOf(int index) {
     return "127.0." + (index % ZONES.length + 1) + "." + (index + 1);
   }
 
-  /** Starts an instance, or starts it again. */
+  /** Starts or restarts an instance. */
   void startEntry(int index) throws IOException {
     int[] ports = entryPorts.get(index);
     ObjectNode settings = Json.STRICT.createObjectNode();
@@ -174,13 +181,13 @@
     settings.putObject("operators").put("host", HOST).put("port", ports[1]);
     ObjectNode peers = settings.putObject("peers");
     peers.put("host", addressOf(index)).put("port", ports[2]).put("key", "a-key-shared-by-peers");
-    peers.putObject("advertised").put("host", HOST).put("port", advertised.get(index));
+    peers.putObject("advertised").put("host", HOST).put("port", advertisedPorts.get(index));
     addTls(peers);
     ArrayNode seeds = peers.putArray("seeds");
-    for (int other = 0; other < advertised.size(); other++) {
+    for (int peer = 0; peer < advertisedPorts.size(); peer++) {
       ObjectNode seed = seeds.addObject();
-      seed.put("name", nameOf(other)).put("zone", zoneOf(other)).put("rack", "rack-" + other);
-      seed.put("host", HOST).put("peerPort", advertised.get(other)).put("leaving", false);
+      seed.put("name", nameOf(peer)).put("zone", zoneOf(peer)).put("rack", "rack-" + peer);
+      seed.put("host", HOST).put("peerPort", advertisedPorts.get(peer)).put("leaving", false);
     }
     settings.putObject("platform").put("host", HOST).put("port", platformPorts.get(zoneOf(index)));
     settings.putObject("rating").put("host", HOST).put("port", ratingPort);
@@ -199,7 +206,8 @@
 
   void awaitReady(int index) {
     Await.until(
-        nameOf(index) + " ready", () -> Http.get(operatorPort(index), "/readyz").status() == 200);
+        nameOf(index) + " is ready",
+        () -> Http.get(operatorPort(index), "/readyz").status() == 200);
   }
 
   private Process java(String main, String name, String... arguments) throws IOException {
@@ -279,14 +287,14 @@
     return spec.put("trustedRefusals", true).put("leaving", false);
   }
 
-  /** Runs a command of the command line in this process and returns its exit code. */
+  /** Runs an oatlug command in this process and returns its exit code. */
   ExitCode oatlug(String... arguments) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    PrintStream out = new PrintStream(bytes, true, StandardCharsets.UTF_8);
-    List<String> all = new ArrayList<>(List.of(arguments));
-    all.addAll(List.of("--platform", HOST + ":" + platformPort));
-    all.addAll(List.of("--instance", HOST + ":" + operatorPort(0)));
-    ExitCode code = Oatlug.run(all.toArray(new String[0]), out, out);
+    PrintStream output = new PrintStream(bytes, true, StandardCharsets.UTF_8);
+    List<String> commandLine = new ArrayList<>(List.of(arguments));
+    commandLine.addAll(List.of("--platform", HOST + ":" + platformPort));
+    commandLine.addAll(List.of("--instance", HOST + ":" + operatorPort(0)));
+    ExitCode code = Oatlug.run(commandLine.toArray(new String[0]), output, output);
     lastOutput = bytes.toString(StandardCharsets.UTF_8);
     return code;
   }
@@ -319,19 +327,19 @@
   }
 
   int peerPort(int index) {
-    return advertised.get(index);
+    return advertisedPorts.get(index);
   }
 
   Process entry(int index) {
     return entries.get(index);
   }
 
-  /** Returns the way of an instance's zone to the platform. */
+  /** Returns the relay between the zone of an instance and the platform. */
   Relay platformRelay(int index) {
     return platformRelays.get(zoneOf(index));
   }
 
-  /** Cuts an instance's zone off from the instances of other zones, or joins it again. */
+  /** Isolates the zone of an instance from the instances of other zones, or reconnects it. */
   void cutZone(int index, boolean cut) {
     int zone = index % ZONES.length;
     for (Map.Entry<Integer, Relay> relay : peerRelays.entrySet()) {
@@ -358,23 +366,23 @@
     entries.get(index).destroyForcibly().onExit().join();
   }
 
-  /** Sets the fault switches of a stand-in. */
+  /** Sets the faults that a stand-in injects. */
   void faults(int port, String json) throws IOException {
     Http.put(port, "/faults", json);
   }
 
-  /** Returns how often each key ran at all services together. */
+  /** Returns the number of runs of each idempotency key at all services together. */
   Map<String, Integer> runs() throws IOException {
     Map<String, Integer> runs = new TreeMap<>();
     for (int port : servicePorts) {
-      for (Map.Entry<String, JsonNode> one : Http.get(port, "/runs").json().properties()) {
-        runs.merge(one.getKey(), one.getValue().asInt(), Integer::sum);
+      for (Map.Entry<String, JsonNode> run : Http.get(port, "/runs").json().properties()) {
+        runs.merge(run.getKey(), run.getValue().asInt(), Integer::sum);
       }
     }
     return runs;
   }
 
-  /** Returns the records of all engines. */
+  /** Returns the request records of all engines. */
   List<JsonNode> records() throws IOException {
     List<JsonNode> records = new ArrayList<>();
     for (int port : enginePorts) {
@@ -414,10 +422,10 @@
 
   @Override
   public void close() throws IOException {
-    List<Process> all = new ArrayList<>(others);
-    all.addAll(entries.values());
-    all.forEach(Process::destroyForcibly);
-    for (Process process : all) {
+    List<Process> processes = new ArrayList<>(standins);
+    processes.addAll(entries.values());
+    processes.forEach(Process::destroyForcibly);
+    for (Process process : processes) {
       try {
         process.waitFor(10, TimeUnit.SECONDS);
       } catch (InterruptedException e) {
