--- a/org.oatlug.test/tst/org/oatlug/test/DecisionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/DecisionTest.java
@@ -25,7 +25,7 @@
 import org.oatlug.internal.rollout.CandidateEvidence;
 import org.oatlug.internal.rollout.RolloutGuard;
 
-/** Shows the bounds that limits, retries, the waiting line, stages and the guard keep. */
+/** Checks the bounds of rate limits, retries, the request queue, cascade stages and the guard. */
 class DecisionTest {
   private static final String SEED = "20261202";
   private static final Cascade CASCADE = new Cascade(List.of("small", "large"), 1, 0.9);
@@ -33,7 +33,7 @@
   private final FakeClock clock = new FakeClock();
 
   @Property(seed = SEED)
-  void testBucketNeverGivesMoreThanRateAndBurst(
+  void testTokenBucketKeepsToRateAndBurst(
       @ForAll @IntRange(min = 1, max = 50) int rate, @ForAll Random random) {
     TokenBucket bucket = TokenBucket.full(rate, clock.instant());
     int taken = 0;
@@ -44,84 +44,91 @@
       clock.advance(Duration.ofMillis(pause));
       taken += bucket.take(rate, clock.instant()) ? 1 : 0;
     }
-    assertTrue(taken <= rate + rate * millis / 1000.0 + 1, taken + " in " + millis);
+    assertTrue(
+        taken <= rate + rate * millis / 1000.0 + 1,
+        taken + " tokens taken, elapsed millis: " + millis);
   }
 
   @Property(seed = SEED)
-  void testRetriesStayWithinTheirShare(@ForAll Random random) {
+  void testRetriesStayWithinBudget(@ForAll Random random) {
     RetryBudget budget = RetryBudget.create();
-    int first = 0;
+    int firstAttempts = 0;
     int retries = 0;
     for (int step = 0; step < 500; step++) {
       if (random.nextBoolean()) {
         budget.firstTry();
-        first++;
+        firstAttempts++;
       } else if (budget.takeRetry()) {
         retries++;
       }
     }
-    assertTrue(retries <= 10 + 0.2 * first + 1, retries + " of " + first);
+    assertTrue(
+        retries <= 10 + 0.2 * firstAttempts + 1,
+        retries + " retries, first attempts: " + firstAttempts);
   }
 
-  /** Higher priority goes first, then earlier arrival; a full target holds up no other. */
+  /** Checks the order by priority, then arrival, and that a full target blocks no other target. */
   @Example
-  void testLineServesByPriorityAndPassesFullTargets() {
-    WaitingLine line = WaitingLine.create();
+  void testQueueServesByPriorityAndSkipsFullTargets() {
+    WaitingLine queue = WaitingLine.create();
     List<String> served = new ArrayList<>();
-    enter(line, "free", 1, "low", served, true);
-    enter(line, "full", 9, "blocked", served, false);
-    enter(line, "free", 8, "high", served, true);
-    enter(line, "free", 8, "high later", served, true);
-    line.serve(clock.instant());
+    enter(queue, "free", 1, "low", served, true);
+    enter(queue, "full", 9, "blocked", served, false);
+    enter(queue, "free", 8, "high", served, true);
+    enter(queue, "free", 8, "high later", served, true);
+    queue.serve(clock.instant());
     assertEquals(served, List.of("high", "high later", "low"));
-    assertEquals(line.size(), 1);
+    assertEquals(queue.size(), 1);
   }
 
-  /** A request that waited too long is refused at once, and never served afterwards. */
+  /** Checks that a request that waited too long is refused at once and never served afterwards. */
   @Example
-  void testLineRefusesThoseWhoWaitedTooLong() {
-    WaitingLine line = WaitingLine.create();
+  void testQueueRefusesExpiredRequests() {
+    WaitingLine queue = WaitingLine.create();
     List<String> served = new ArrayList<>();
-    enter(line, "full", 5, "late", served, false);
+    enter(queue, "full", 5, "late", served, false);
     clock.advance(Duration.ofSeconds(9));
-    line.serve(clock.instant());
+    queue.serve(clock.instant());
     assertEquals(served, List.of("late refused"));
-    assertEquals(line.size(), 0);
+    assertEquals(queue.size(), 0);
   }
 
   private void enter(
-      WaitingLine line,
+      WaitingLine queue,
       String target,
       int priority,
       String name,
       List<String> served,
-      boolean place) {
+      boolean hasPlace) {
     WaitingLine.Waiting waiting =
         new WaitingLine.Waiting(
             target,
             priority,
             clock.instant().plusSeconds(10),
-            () -> place && served.add(name),
+            () -> hasPlace && served.add(name),
             () -> served.add(name + " refused"));
-    assertTrue(line.enter(waiting, clock.instant()).isEmpty());
+    assertTrue(queue.enter(waiting, clock.instant()).isEmpty());
   }
 
-  /** When places are few, low priority is refused first. */
+  /** Checks that requests of low priority are refused first when few places are left. */
   @Example
   void testLowPriorityIsShedFirst() {
-    OpenRequests open = OpenRequests.withBound(100);
+    OpenRequests openRequests = OpenRequests.withBound(100);
     for (int count = 0; count < 80; count++) {
-      assertEquals(open.admit(9), OpenRequests.Result.ADMITTED);
+      assertEquals(openRequests.admit(9), OpenRequests.Result.ADMITTED);
     }
-    assertEquals(open.admit(0), OpenRequests.Result.OVERLOADED);
-    assertEquals(open.admit(9), OpenRequests.Result.ADMITTED);
-    open.stop();
-    assertEquals(open.admit(9), OpenRequests.Result.STOPPING);
+    assertEquals(openRequests.admit(0), OpenRequests.Result.OVERLOADED);
+    assertEquals(openRequests.admit(9), OpenRequests.Result.ADMITTED);
+    openRequests.stop();
+    assertEquals(openRequests.admit(9), OpenRequests.Result.STOPPING);
   }
 
-  /** A stage is used once it is known to be good enough, and not tried without ratings. */
+  /**
+   * Checks that a stage is used once its ratings reach the target, and not explored without
+   * ratings.
+   */
   @Example
-  void testStageIsTriedOnlyWhileRatingsCome() {
+  void testStageIsExploredOnlyWithRatings() {
     RatingTable ratings = RatingTable.create();
     RatingTable.Subject small = new RatingTable.Subject("desk", "tag", "small");
     for (int count = 0; count < 30; count++) {
@@ -138,24 +145,24 @@
     assertEquals(ConfidentStage.create().choose(CASCADE, "desk", "tag", ratings, random), 0);
   }
 
-  /** The guard halts a bad candidate; of 1000 good ones it halts less than 1%. */
+  /** Checks that the guard halts a failing candidate, and less than 1% of 1000 healthy ones. */
   @Example
-  void testGuardHaltsBadAndSparesGoodCandidates() {
-    assertTrue(halts(0.3, new Random(1)));
+  void testGuardHaltsFailingAndKeepsHealthyCandidates() {
+    assertTrue(isHalted(0.3, new Random(1)));
     int falseHalts = 0;
     for (int run = 0; run < 1000; run++) {
-      falseHalts += halts(0.02, new Random(run)) ? 1 : 0;
+      falseHalts += isHalted(0.02, new Random(run)) ? 1 : 0;
     }
-    assertTrue(falseHalts < 10, falseHalts + " good candidates were halted");
-    assertFalse(halts(0.0, new Random(1)));
+    assertTrue(falseHalts < 10, falseHalts + " healthy candidates were halted");
+    assertFalse(isHalted(0.0, new Random(1)));
   }
 
-  private static boolean halts(double candidateErrors, Random random) {
+  private static boolean isHalted(double candidateErrors, Random random) {
     CandidateEvidence evidence = CandidateEvidence.create();
     for (int count = 0; count < 2000; count++) {
-      boolean ofCandidate = count % 4 == 0;
-      double errors = ofCandidate ? candidateErrors : 0.02;
-      evidence.add(RolloutGuard.Measure.ERRORS, ofCandidate, random.nextDouble() < errors);
+      boolean isCandidate = count % 4 == 0;
+      double errorRate = isCandidate ? candidateErrors : 0.02;
+      evidence.add(RolloutGuard.Measure.ERRORS, isCandidate, random.nextDouble() < errorRate);
       if (RolloutGuard.refutesTogether(evidence.logEvidence())) {
         return true;
       }
--- a/org.oatlug.test/tst/org/oatlug/test/RouterTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/RouterTest.java
@@ -38,7 +38,9 @@
 import org.oatlug.platform.StoreRevision;
 import org.oatlug.platform.StoredObject;
 
-/** Shows that a route is allowed, not withdrawn and true to its session, whatever is published. */
+/**
+ * Checks that each route is allowed, not withdrawn and keeps to its session, for any deployment.
+ */
 class RouterTest {
   private static final String SEED = "20261202";
   private static final List<String> MODELS = List.of("small", "large");
@@ -48,7 +50,7 @@
       Map.of("all", "true", "none", "false", "small-only", "model == 'small'");
 
   private final FakeClock clock = new FakeClock();
-  private Tables tables = freshTables();
+  private Tables tables = newTables();
   private long revision;
 
   private void publish(String kind, String name, ObjectNode spec) {
@@ -60,18 +62,18 @@
     return Json.STRICT.createObjectNode();
   }
 
-  private void offerVersion(String name, String model, String state) {
+  private void publishVersion(String name, String model, String state) {
     ObjectNode spec = spec().put("model", model).put("state", state);
     publish("version", name, spec.put("costPerThousandTokens", 1));
   }
 
-  private static Tables freshTables() {
+  private static Tables newTables() {
     return Tables.create(Freshness.withBound(Duration.ofSeconds(10)));
   }
 
-  /** Publishes a random deployment into new tables; one test object serves all tries. */
-  private void offerRandom(Random random) {
-    tables = freshTables();
+  /** Publishes a random deployment into new tables, as all tries share one test object. */
+  private void publishRandomDeployment(Random random) {
+    tables = newTables();
     POLICIES.forEach((name, text) -> publish("policy", name, spec().put("program", text)));
     List<String> names = List.copyOf(POLICIES.keySet());
     ObjectNode workspace = spec().put("policy", names.get(random.nextInt(names.size())));
@@ -83,19 +85,19 @@
     for (String model : MODELS) {
       publish("model", model, spec().put("description", model));
       for (int number = 1; number <= 3; number++) {
-        offerVersion(model + "-v" + number, model, STATES.get(random.nextInt(4)));
+        publishVersion(model + "-v" + number, model, STATES.get(random.nextInt(4)));
       }
       ObjectNode rollout = spec().put("model", model).put("candidate", model + "-v3");
       rollout.put("weightPercent", 50).put("onHalt", "keep");
       publish("rollout", model, rollout.put("state", random.nextBoolean() ? "running" : "halted"));
     }
-    offerUpstream("engine", random.nextInt(8) == 0);
+    publishUpstream("engine", random.nextInt(8) == 0);
     if (random.nextBoolean()) {
       tables.freshness().learn(Duration.ZERO, clock.instant());
     }
   }
 
-  private void offerUpstream(String name, boolean leaving) {
+  private void publishUpstream(String name, boolean leaving) {
     ObjectNode upstream = spec().put("kind", "engine").put("host", "127.0.0.1").put("port", 1);
     upstream.put("zone", "hall-a").put("slots", 4).put("trustedRefusals", true);
     upstream.put("leaving", leaving).putArray("serves");
@@ -126,7 +128,7 @@
 
   @Property(seed = SEED)
   void testRouteIsAllowedAndNotWithdrawn(@ForAll Random random) {
-    offerRandom(random);
+    publishRandomDeployment(random);
     String target = random.nextBoolean() ? "both" : MODELS.get(random.nextInt(2));
     RoutingDecision decision = decide(target, Map.of(), random);
     decision
@@ -147,13 +149,15 @@
                       .name()
                       .equals("RUNNING");
               boolean fresh = tables.freshness().isFresh(clock.instant());
-              assertTrue(!candidate || running && fresh, "exposed: " + route);
+              assertTrue(
+                  !candidate || running && fresh,
+                  "candidate selected outside a running roll-out: " + route);
             });
   }
 
   @Property(seed = SEED)
   void testSessionKeepsItsVersionOrIsRefused(@ForAll Random random) {
-    offerRandom(random);
+    publishRandomDeployment(random);
     String model = MODELS.get(random.nextInt(2));
     String bound = model + "-v" + (1 + random.nextInt(3));
     RoutingDecision decision = decide(model, Map.of(model, bound), random);
@@ -165,24 +169,24 @@
     }
   }
 
-  /** A session that a cascade began on one model stays on it, whatever stage would be chosen. */
+  /** Checks that a session of a cascade stays on its model, whichever stage would be selected. */
   @Property(seed = SEED)
-  void testSessionStaysOnItsModelOfTheCascade(@ForAll Random random) {
-    offerRandom(random);
+  void testSessionKeepsItsModelOfCascade(@ForAll Random random) {
+    publishRandomDeployment(random);
     String model = MODELS.get(random.nextInt(2));
     RoutingDecision decision = decide("both", Map.of(model, model + "-v1"), random);
     decision.route().ifPresent(route -> assertEquals(route.version(), model + "-v1"));
   }
 
-  /** A version that is withdrawn between the decision and the dispatch is not dispatched to. */
+  /** Checks that a route is no longer allowed once its version is withdrawn before the dispatch. */
   @Example
-  void testRouteDoesNotOutliveWithdrawal() {
-    offerRandom(new Random(1));
+  void testRouteIsNotAllowedAfterWithdrawal() {
+    publishRandomDeployment(new Random(1));
     ObjectNode workspace = spec().put("policy", "all").put("requestsPerSecond", 10);
     workspace.put("priority", 5).putArray("keyHashes").add("x");
     publish("workspace", "desk", workspace);
-    offerUpstream("engine", false);
-    offerVersion("small-v1", "small", "current");
+    publishUpstream("engine", false);
+    publishVersion("small-v1", "small", "current");
     Router router =
         Router.create(
             "hall-a",
@@ -194,45 +198,48 @@
     RoutingDecision.Route route =
         router.decide(request, tables, clock.instant()).route().orElseThrow();
     assertTrue(router.stillAllowed(request, route, tables, true));
-    offerVersion(route.version(), "small", "withdrawn");
+    publishVersion(route.version(), "small", "withdrawn");
     assertFalse(router.stillAllowed(request, route, tables, true));
   }
 
-  /** Each candidate that was not taken carries its reason. */
+  /** Checks that the decision lists each excluded candidate with its reason. */
   @Example
-  void testLeavingUpstreamIsPassedOverWithItsReason() {
-    offerRandom(new Random(1));
-    offerUpstream("engine", true);
+  void testDrainingUpstreamIsExcludedWithReason() {
+    publishRandomDeployment(new Random(1));
+    publishUpstream("engine", true);
     RoutingDecision decision = decide("small", Map.of("small", "small-v1"), new Random(1));
     assertTrue(decision.route().isEmpty());
     assertFalse(decision.passedOver().isEmpty());
   }
 
-  /** An upstream that asked for rest gets nothing until then, whoever would choose it. */
+  /** Checks that an upstream that asked callers to back off is not selected before that time. */
   @Property(seed = SEED)
-  void testUpstreamThatRestsGetsNothingUntilItHasRested(@ForAll Random random) {
-    offerRandom(random);
+  void testUpstreamIsNotSelectedWhileItBacksOff(@ForAll Random random) {
+    publishRandomDeployment(random);
     UpstreamRow row = tables.upstreams().row("engine");
     row.restUntil(clock.instant().plusSeconds(3));
     assertTrue(decide("both", Map.of(), random).route().isEmpty());
     clock.advance(Duration.ofSeconds(2));
     assertTrue(decide("both", Map.of(), random).route().isEmpty());
-    assertFalse(row.ejected(clock.instant()), "it has not failed");
+    assertFalse(
+        row.ejected(clock.instant()), "an upstream that backs off must not count as failed");
   }
 
-  /** A session token verifies with an old key, for its own workspace, and not when changed. */
+  /**
+   * Checks that a token verifies with a rotated key, and not with an unknown key or when modified.
+   */
   @Example
-  void testSessionTokenVerifiesWithOldKeyOnly() throws SessionTokenInvalidException {
+  void testSessionTokenVerifiesAfterKeyRotation() throws SessionTokenInvalidException {
     SessionKeys old = new SessionKeys("k1", Map.of("k1", "first-key-of-sessions"));
-    Map<String, String> both = Map.of("k1", "first-key-of-sessions", "k2", "second-key");
+    Map<String, String> rotatedKeys = Map.of("k1", "first-key-of-sessions", "k2", "second-key");
     SessionToken token = new SessionToken("s", "desk", Map.of("small", "small-v1"));
-    String text = token.sign(old);
-    SessionKeys rotated = new SessionKeys("k2", both);
-    assertEquals(SessionToken.verify(text, rotated), token);
-    assertNotEquals(token.sign(rotated), text);
-    SessionKeys other = new SessionKeys("k3", Map.of("k3", "third-key-of-sessions"));
-    assertThrows(SessionTokenInvalidException.class, () -> SessionToken.verify(text, other));
-    String changed = text.substring(0, text.length() - 2) + "xx";
-    assertThrows(SessionTokenInvalidException.class, () -> SessionToken.verify(changed, old));
+    String signed = token.sign(old);
+    SessionKeys rotated = new SessionKeys("k2", rotatedKeys);
+    assertEquals(SessionToken.verify(signed, rotated), token);
+    assertNotEquals(token.sign(rotated), signed);
+    SessionKeys unknown = new SessionKeys("k3", Map.of("k3", "third-key-of-sessions"));
+    assertThrows(SessionTokenInvalidException.class, () -> SessionToken.verify(signed, unknown));
+    String modified = signed.substring(0, signed.length() - 2) + "xx";
+    assertThrows(SessionTokenInvalidException.class, () -> SessionToken.verify(modified, old));
   }
 }
