--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/CascadeBench.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/CascadeBench.java
@@ -85,7 +85,7 @@
       met += good ? 1 : 0;
       RatingTable.Subject subject =
           new RatingTable.Subject("desk", name, CASCADE.stages().get(stage));
-      ratings.handedOver(subject);
+      ratings.recordSubmission(subject);
       if (number < REQUESTS * ratedUntil) {
         ratings.rated(subject, good);
       }
--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/DecideBench.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/DecideBench.java
@@ -97,7 +97,7 @@
             "hall-a",
             ConfidentStage.create(),
             PredictedCost.create(),
-            CapacityRule.slotsAndFewWaiting(),
+            CapacityRule.slotsAndShortQueue(),
             random);
     request = new RouteRequest("w", "m", "t", Map.of(), 300, 7, 0, Set.of());
     program = PolicyProgram.compile("p", text);
--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/PolicyBench.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/PolicyBench.java
@@ -64,7 +64,7 @@
   }
 
   private static CapacityRule capacityOf(String name) {
-    return name.equals(LINE) ? CapacityRule.slotsAndFewWaiting() : CapacityRule.unbounded();
+    return name.equals(LINE) ? CapacityRule.slotsAndShortQueue() : CapacityRule.unbounded();
   }
 
   private void upstreamChoice() {
@@ -117,7 +117,7 @@
             new PoolRun.Options(
                 load,
                 PredictedCost::create,
-                CapacityRule.slotsAndFewWaiting(),
+                CapacityRule.slotsAndShortQueue(),
                 200,
                 PoolRun.Fault.NONE));
       }
--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/PoolRun.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/PoolRun.java
@@ -17,9 +17,9 @@
 import org.oatlug.api.ObjectKey;
 import org.oatlug.api.RefusalReason;
 import org.oatlug.internal.cascade.ConfidentStage;
+import org.oatlug.internal.limit.AdmissionQueue;
 import org.oatlug.internal.limit.CapacityRule;
 import org.oatlug.internal.limit.RetryBudget;
-import org.oatlug.internal.limit.WaitingLine;
 import org.oatlug.internal.routing.RouteRequest;
 import org.oatlug.internal.routing.Router;
 import org.oatlug.internal.routing.RoutingDecision;
@@ -61,7 +61,7 @@
    *
    * @param load the share of the pool's capacity that is asked for
    * @param chooser makes the chooser of each instance
-   * @param capacity says which upstreams have no place
+   * @param capacity decides which upstreams have no capacity
    * @param reportLagMillis how old load reports are when they arrive
    * @param fault what goes wrong
    */
@@ -92,7 +92,7 @@
   }
 
   private record Entry(
-      Tables tables, Router router, RetryBudget retries, WaitingLine line, String zone) {}
+      Tables tables, Router router, RetryBudget retries, AdmissionQueue queue, String zone) {}
 
   static Result run(Workload workload, Options options, long seed) {
     PoolRun run = new PoolRun(workload, options, seed);
@@ -113,10 +113,10 @@
       Router router =
           Router.create(
               zone, ConfidentStage.create(), options.chooser().get(), options.capacity(), source);
-      entries.add(new Entry(tables, router, RetryBudget.create(), WaitingLine.create(), zone));
+      entries.add(new Entry(tables, router, RetryBudget.create(), AdmissionQueue.create(), zone));
       double offset = 1000.0 * index / workload.instances();
       Entry entry = entries.get(index);
-      time.every(50, () -> entry.line().serve(time.instant()));
+      time.every(50, () -> entry.queue().serve(time.instant()));
       time.after(
           offset,
           () ->
@@ -207,7 +207,7 @@
     if (counts) {
       result.asked++;
     }
-    entry.retries().firstTry();
+    entry.retries().recordFirstAttempt();
     new Try(entry, request, counts, time.nowMillis()).next();
   }
 
@@ -245,7 +245,7 @@
       }
     }
 
-    /** Tries to find a place; returns false if the request has to wait for one. */
+    /** Tries to reserve capacity; returns false if the request has to wait for it. */
     private boolean goesOn() {
       RouteRequest route =
           new RouteRequest(
@@ -271,14 +271,14 @@
 
     private void waitInLine() {
       double left = started + request.requestClass().deadlineMillis() - time.nowMillis();
-      WaitingLine.Waiting waiting =
-          new WaitingLine.Waiting(
+      AdmissionQueue.QueuedRequest queuedRequest =
+          new AdmissionQueue.QueuedRequest(
               "m",
               request.requestClass().priority(),
               time.instant().plusMillis((long) left),
               this::goesOn,
               this::refuse);
-      entry.line().enter(waiting, time.instant()).ifPresent(wait -> refuse());
+      entry.queue().enqueue(queuedRequest, time.instant()).ifPresent(wait -> refuse());
     }
 
     private void refuse() {
@@ -307,10 +307,10 @@
 
     private void done(UpstreamRow row, String name, double sent, boolean answered) {
       row.release();
-      entry.line().freed(time.instant());
+      entry.queue().recordRelease(time.instant());
       if (answered) {
         row.succeeded(time.instant());
-        entry.line().serve(time.instant());
+        entry.queue().serve(time.instant());
         return;
       }
       row.failed(time.instant());
--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/RolloutBench.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/RolloutBench.java
@@ -76,7 +76,7 @@
 
   private static Exposure runOnce(Candidate candidate, Random random) {
     CandidateEvidence[] evidence = new CandidateEvidence[INSTANCES];
-    boolean[] haltedHere = new boolean[INSTANCES];
+    boolean[] locallyHalted = new boolean[INSTANCES];
     for (int index = 0; index < INSTANCES; index++) {
       evidence[index] = CandidateEvidence.create();
     }
@@ -84,21 +84,21 @@
     for (int second = 0; second < ROLLOUT_SECONDS; second++) {
       for (int number = 0; number < REQUESTS_PER_SECOND; number++) {
         int index = random.nextInt(INSTANCES);
-        boolean toCandidate = !haltedHere[index] && random.nextDouble() < WEIGHT;
+        boolean toCandidate = !locallyHalted[index] && random.nextDouble() < WEIGHT;
         answers += toCandidate ? 1 : 0;
         observe(evidence[index], toCandidate, candidate, random);
-        haltedHere[index] |= evidence[index].refutesAlone();
+        locallyHalted[index] |= evidence[index].sufficesForLocalHalt();
       }
       double sum = 0;
       for (CandidateEvidence one : evidence) {
         sum += one.logEvidence();
       }
-      if (RolloutGuard.refutesTogether(sum)) {
+      if (RolloutGuard.sufficesForGlobalHalt(sum)) {
         return new Exposure(answers, true);
       }
     }
     boolean anywhere = false;
-    for (boolean one : haltedHere) {
+    for (boolean one : locallyHalted) {
       anywhere |= one;
     }
     return new Exposure(answers, anywhere);
--- a/org.oatlug.entry/src/org/oatlug/entry/LatePeers.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/DeferredPeerHandler.java
@@ -12,12 +12,12 @@
  * Rejects messages of peers until the components of an instance are created, and then delegates to
  * their handler. Used from one event loop.
  */
-final class LatePeers implements PeerHandler {
+final class DeferredPeerHandler implements PeerHandler {
   private PeerHandler delegate =
       (from, message) -> Uni.createFrom().item(new PeerMessage.Failed("starting"));
 
   /** Sets the handler of all further messages. */
-  void handOnTo(PeerHandler handler) {
+  void setDelegate(PeerHandler handler) {
     delegate = handler;
   }
 
--- a/org.oatlug.entry/src/org/oatlug/entry/EntryInstance.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/EntryInstance.java
@@ -25,19 +25,19 @@
 import org.oatlug.internal.http.CallerServer;
 import org.oatlug.internal.http.OperatorServer;
 import org.oatlug.internal.http.Services;
-import org.oatlug.internal.ledger.ClaimDesk;
+import org.oatlug.internal.ledger.ClaimSystem;
 import org.oatlug.internal.ledger.Ledger;
+import org.oatlug.internal.limit.AdmissionQueue;
 import org.oatlug.internal.limit.CapacityRule;
 import org.oatlug.internal.limit.OpenRequests;
 import org.oatlug.internal.limit.RetryBudget;
-import org.oatlug.internal.limit.WaitingLine;
 import org.oatlug.internal.limit.WorkspaceLimits;
 import org.oatlug.internal.membership.Membership;
 import org.oatlug.internal.metrics.Meters;
 import org.oatlug.internal.peer.Member;
 import org.oatlug.internal.peer.PeerMessage;
 import org.oatlug.internal.peer.PeerNetwork;
-import org.oatlug.internal.peer.TcpPeers;
+import org.oatlug.internal.peer.TcpPeerNetwork;
 import org.oatlug.internal.platform.HttpPlatform;
 import org.oatlug.internal.rollout.RolloutGuard;
 import org.oatlug.internal.routing.PredictedCost;
@@ -46,7 +46,7 @@
 import org.oatlug.internal.table.Freshness;
 import org.oatlug.internal.table.Tables;
 import org.oatlug.internal.util.MonotonicClock;
-import org.oatlug.internal.util.PauseWatch;
+import org.oatlug.internal.util.PauseDetector;
 import org.oatlug.internal.util.TickSystem;
 import org.oatlug.platform.Platform;
 
@@ -89,7 +89,7 @@
             0,
             Member.State.ALIVE);
     Membership membership = Membership.create(self, clock, random);
-    membership.listed(settings.peers().seeds());
+    membership.mergeListed(settings.peers().seeds());
     wire(membership);
     vertx.setPeriodic(TICK_MILLIS, unused -> tick());
     return CallerServer.create(services)
@@ -104,14 +104,15 @@
         Freshness.withBound(Duration.ofMillis(settings.limits().freshnessMillis()));
     final Tables tables = Tables.create(freshness);
     Platform platform = HttpPlatform.create(vertx, settings.platform());
-    LatePeers deferredHandler = new LatePeers();
-    TcpPeers network = TcpPeers.create(vertx, settings.peers(), membership::self, deferredHandler);
+    DeferredPeerHandler deferredHandler = new DeferredPeerHandler();
+    TcpPeerNetwork network =
+        TcpPeerNetwork.create(vertx, settings.peers(), membership::self, deferredHandler);
     membership.connect(network);
     final Ledger ledger =
         Ledger.create(settings.ledger(), platform, clock, membership, network, meters.registry());
     final BillingSystem billing =
         BillingSystem.create(membership, network, ledger::submit, clock, meters);
-    final ClaimDesk claims = ClaimDesk.create(ledger::submit, membership, clock, meters);
+    final ClaimSystem claims = ClaimSystem.create(ledger::submit, membership, clock, meters);
     ConfigurationSystem configuration =
         ConfigurationSystem.create(
             tables.catalogue(),
@@ -119,15 +120,15 @@
             platform,
             membership,
             network,
-            new ConfigurationSystem.Support(clock, random, meters, List.of(Kinds.ALL)));
+            new ConfigurationSystem.Dependencies(clock, random, meters, List.of(Kinds.ALL)));
     final RolloutGuard guard =
         RolloutGuard.create(tables, platform, membership, network, clock, meters);
-    deferredHandler.handOnTo(
-        new SharedStatePeers(
+    deferredHandler.setDelegate(
+        new SharedStateHandler(
             membership, configuration, new PeerMessageDispatcher(tables, ledger, billing, guard)));
     network.listen().onFailure(failure -> logger.atSevere().withCause(failure).log("peers"));
-    WaitingLine line = WaitingLine.create();
-    PauseWatch pause = PauseWatch.create(clock, () -> confirm(tables, configuration));
+    AdmissionQueue queue = AdmissionQueue.create();
+    PauseDetector pause = PauseDetector.create(clock, () -> confirm(tables, configuration));
     LoadSystem load =
         LoadSystem.create(
             settings.name(),
@@ -155,7 +156,7 @@
             new SessionKeys(settings.sessions().signing(), settings.sessions().keys()),
             OpenRequests.withBound(settings.limits().openRequests()),
             WorkspaceLimits.create(() -> membership.live().size()),
-            line,
+            queue,
             RetryBudget.create(),
             pause,
             meters);
@@ -165,7 +166,7 @@
             membership::tick,
             configuration,
             load,
-            () -> line.serve(clock.instant()),
+            () -> queue.serve(clock.instant()),
             ledger::tick,
             claims,
             billing,
@@ -177,7 +178,7 @@
         settings.zone(),
         ConfidentStage.create(),
         PredictedCost.create(),
-        CapacityRule.slotsAndFewWaiting(),
+        CapacityRule.slotsAndShortQueue(),
         random);
   }
 
@@ -196,7 +197,7 @@
   private void confirm(Tables tables, ConfigurationSystem configuration) {
     logger.atWarning().log("process pause detected; confirming the configuration again");
     services.meters().count("pause");
-    tables.freshness().doubt();
+    tables.freshness().markUnconfirmed();
     configuration
         .confirm()
         .subscribe()
@@ -247,7 +248,8 @@
     vertx.setPeriodic(
         SHUTDOWN_POLL_MILLIS,
         timer -> {
-          int pendingEntries = services.billing().unconfirmed() + services.claims().unrecorded();
+          int pendingEntries =
+              services.billing().unconfirmedCount() + services.claims().unrecordedCount();
           if (pendingEntries == 0 || clock.instant().isAfter(deadline)) {
             vertx.cancelTimer(timer);
             logger.atInfo().log(
--- a/org.oatlug.entry/src/org/oatlug/entry/GatewayInstance.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/GatewayInstance.java
@@ -24,24 +24,24 @@
 import org.oatlug.internal.config.ObjectSink;
 import org.oatlug.internal.config.Origin;
 import org.oatlug.internal.gateway.GatewayComponents;
+import org.oatlug.internal.gateway.GatewayParticipant;
 import org.oatlug.internal.gateway.GatewayServer;
 import org.oatlug.internal.gateway.GatewayTables;
-import org.oatlug.internal.gateway.GatheredKnowledge;
 import org.oatlug.internal.gateway.InspectionServer;
 import org.oatlug.internal.gateway.ReadinessGate;
 import org.oatlug.internal.gateway.RolloutDirector;
-import org.oatlug.internal.gather.GatherSystem;
+import org.oatlug.internal.gather.StateExchange;
 import org.oatlug.internal.limit.RankedSenders;
 import org.oatlug.internal.membership.Membership;
 import org.oatlug.internal.metrics.Meters;
-import org.oatlug.internal.peer.CountedPeers;
 import org.oatlug.internal.peer.Member;
+import org.oatlug.internal.peer.MeteredPeerNetwork;
 import org.oatlug.internal.peer.PeerNetwork;
-import org.oatlug.internal.peer.TcpPeers;
-import org.oatlug.internal.platform.CountedPlatform;
+import org.oatlug.internal.peer.TcpPeerNetwork;
+import org.oatlug.internal.platform.MeteredPlatform;
 import org.oatlug.internal.table.Freshness;
 import org.oatlug.internal.util.MonotonicClock;
-import org.oatlug.internal.util.PauseWatch;
+import org.oatlug.internal.util.PauseDetector;
 import org.oatlug.internal.util.TickSystem;
 import org.oatlug.platform.Platform;
 import org.oatlug.platform.StoredObject;
@@ -53,7 +53,7 @@
  * stop first stops being ready, goes on accepting while the balancer notices, finishes what it can
  * within the grace and cuts the rest in time for callers to resume it elsewhere.
  */
-final class GatewayInstance extends VerticleBase implements Drainable, SettingsWatch.Target {
+final class GatewayInstance extends VerticleBase implements Drainable, SettingsWatcher.Target {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   /**
@@ -82,7 +82,7 @@
   private GatewaySettings settings;
   private Membership membership;
   private GatewayServer server;
-  private TcpPeers listener;
+  private TcpPeerNetwork listener;
   private List<TickSystem> systems = List.of();
   private Optional<Instant> listeningAt = Optional.empty();
   private Optional<Instant> servingAt = Optional.empty();
@@ -152,16 +152,16 @@
 
   /** Creates the components of the instance and connects them. */
   private GatewayComponents wire(Meters meters) {
-    Platform platform = CountedPlatform.of(adapter.platform(vertx, settings), meters);
-    LatePeers late = new LatePeers();
-    listener = TcpPeers.create(vertx, peerSettings(), membership::self, late);
-    PeerNetwork network = CountedPeers.of(listener, membership::self, meters);
+    Platform platform = MeteredPlatform.of(adapter.platform(vertx, settings), meters);
+    DeferredPeerHandler deferredHandler = new DeferredPeerHandler();
+    listener = TcpPeerNetwork.create(vertx, peerSettings(), membership::self, deferredHandler);
+    PeerNetwork network = MeteredPeerNetwork.of(listener, membership::self, meters);
     membership.connect(network);
     ConfigurationSystem configuration = configurationSystem(platform, network, meters);
     RolloutDirector rollouts =
         RolloutDirector.create(tables, platform, membership, clock, meters, settings.bounds());
     RankedSenders senders =
-        RankedSenders.create(settings.name(), membership::live, membership::knowsOfOthers, clock);
+        RankedSenders.create(settings.name(), membership::live, membership::hasKnownPeers, clock);
     GatewayComponents components =
         GatewayComponents.create(
             vertx,
@@ -174,17 +174,17 @@
             () -> membership.live().size(),
             random,
             meters);
-    GatherSystem gathering =
-        GatherSystem.create(
+    StateExchange gathering =
+        StateExchange.create(
             membership,
             network,
             clock,
             meters,
-            GatheredKnowledge.of(components, rollouts),
+            GatewayParticipant.of(components, rollouts),
             components.crashLedger());
-    rollouts.onRefuted(gathering::tellNow);
-    late.handOnTo(
-        new SharedStatePeers(
+    rollouts.onRefuted(gathering::sendReportNow);
+    deferredHandler.setDelegate(
+        new SharedStateHandler(
             membership,
             configuration,
             (from, message) -> Uni.createFrom().item(gathering.handle(from, message))));
@@ -195,10 +195,10 @@
             () -> configuration.hasReadAll() && configuration.isInSync(),
             () ->
                 !tables.hasRunningRollout()
-                    || gathering.hasMet()
-                    || gathering.isInformed() && rollouts.knowsOrderAges());
+                    || gathering.hasInitialExchange()
+                    || gathering.hasSessionRecords() && rollouts.knowsOrderAges());
     server = GatewayServer.create(components, random, readinessGate::isOpen);
-    PauseWatch pause = PauseWatch.create(clock, components::handleProcessPause);
+    PauseDetector pause = PauseDetector.create(clock, components::handleProcessPause);
     systems =
         List.of(
             pause::check,
@@ -219,7 +219,7 @@
         platform,
         membership,
         network,
-        new ConfigurationSystem.Support(
+        new ConfigurationSystem.Dependencies(
             clock,
             random,
             meters,
@@ -232,7 +232,7 @@
                 List.of(GatewayKinds.UPSTREAM))));
   }
 
-  /** Returns the settings of the peers' protocol; the seeds are told to the membership alone. */
+  /** Returns the settings of the peers' protocol; only the membership receives the seeds. */
   private Settings.Peers peerSettings() {
     GatewaySettings.Peers peers = settings.peers();
     return new Settings.Peers(
@@ -263,7 +263,7 @@
   private void openWhenKnown() {
     if (readinessGate.opens()) {
       servingAt = Optional.of(clock.instant());
-      tables.allRead();
+      tables.completeInitialRead();
       server.startWaitingRequests();
       noteStarted();
     }
@@ -284,7 +284,7 @@
    * because callers and peers are connected to them.
    */
   @Override
-  public void reloaded(GatewaySettings changed) {
+  public void applySettings(GatewaySettings changed) {
     if (context == null) {
       logger.atInfo().log("settings read anew before the start, they hold from the next start on");
       return;
--- a/org.oatlug.entry/src/org/oatlug/entry/Oatlugd.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/Oatlugd.java
@@ -83,7 +83,7 @@
             .findFirst()
             .orElseThrow(() -> new SettingsInvalidException(List.of("no adapter is installed")));
     GatewayInstance instance = new GatewayInstance(settings, adapter);
-    SettingsWatch.start(file, instance);
+    SettingsWatcher.start(file, instance);
     run(instance, socket.map(PreboundSocket::transport).orElse(Transport.NIO));
   }
 
--- a/org.oatlug.entry/src/org/oatlug/entry/PeerMessageDispatcher.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/PeerMessageDispatcher.java
@@ -28,7 +28,7 @@
   @Override
   public Uni<PeerMessage> handle(Member from, PeerMessage message) {
     if (message instanceof PeerMessage.Submit submit) {
-      return ledger.submitted(submit);
+      return ledger.handleSubmit(submit);
     }
     return Uni.createFrom().item(handleSynchronously(from, message));
   }
--- a/org.oatlug.entry/src/org/oatlug/entry/SettingsWatch.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/SettingsWatcher.java
@@ -22,7 +22,7 @@
  * <p>Invariant: invalid settings are ignored as a whole. Runs on its own thread, from which it
  * calls the target.
  */
-final class SettingsWatch {
+final class SettingsWatcher {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   /** The polling interval, so that a change without a signal takes effect within seconds. */
@@ -32,7 +32,7 @@
   private final Target target;
   private FileTime lastModified;
 
-  private SettingsWatch(Path file, Target target) {
+  private SettingsWatcher(Path file, Target target) {
     this.file = file;
     this.target = target;
     this.lastModified = readModificationTime();
@@ -41,12 +41,12 @@
   /** Applies reloaded settings. */
   @FunctionalInterface
   interface Target {
-    void reloaded(GatewaySettings settings);
+    void applySettings(GatewaySettings settings);
   }
 
   /** Starts to poll the file and to handle the signal. */
   static void start(Path file, Target target) {
-    SettingsWatch watch = new SettingsWatch(file, target);
+    SettingsWatcher watcher = new SettingsWatcher(file, target);
     ScheduledExecutorService executor =
         Executors.newSingleThreadScheduledExecutor(
             task -> {
@@ -54,9 +54,9 @@
               thread.setDaemon(true);
               return thread;
             });
-    Signal.handle(new Signal("HUP"), signal -> executor.execute(watch::reload));
+    Signal.handle(new Signal("HUP"), signal -> executor.execute(watcher::reload));
     executor.scheduleWithFixedDelay(
-        watch::reloadIfChanged, INTERVAL_MILLIS, INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        watcher::reloadIfChanged, INTERVAL_MILLIS, INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   private void reloadIfChanged() {
@@ -68,7 +68,7 @@
   private void reload() {
     lastModified = readModificationTime();
     try {
-      target.reloaded(SettingsFile.readGateway(file));
+      target.applySettings(SettingsFile.readGateway(file));
     } catch (SettingsInvalidException e) {
       logger.atWarning().log("changed settings are not taken: %s", e.problems());
     }
--- a/org.oatlug.entry/src/org/oatlug/entry/SharedStatePeers.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/SharedStateHandler.java
@@ -18,7 +18,7 @@
  * @param configuration handles digests and objects, and reads the platform on behalf of peers
  * @param delegate handles all other messages
  */
-record SharedStatePeers(
+record SharedStateHandler(
     Membership membership, ConfigurationSystem configuration, PeerHandler delegate)
     implements PeerHandler {
 
--- a/org.oatlug.pgm/src/org/oatlug/pgm/ObjectPublisher.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/ObjectPublisher.java
@@ -69,7 +69,7 @@
     }
     ObjectNode copy = Kinds.withoutPublishId(existing.get().value()).deepCopy();
     JsonNode content = change.apply(copy);
-    report(key, session.await(Publisher.to(platform).publishOver(key, existing, content)));
+    report(key, session.await(Publisher.to(platform).publishIfCurrent(key, existing, content)));
   }
 
   /** Returns the names of the objects of a kind that have a state and a value in a field. */
--- a/org.oatlug.standin/src/org/oatlug/standin/Relay.java
+++ b/org.oatlug.standin/src/org/oatlug/standin/TcpRelay.java
@@ -16,7 +16,7 @@
  * TCP relay that simulates the network between two availability zones. It can close connections,
  * drop bytes and delay them. Used from one event loop.
  */
-public final class Relay {
+public final class TcpRelay {
   /** Treatment of connections and bytes. */
   public enum Mode {
     /** Forwards everything. */
@@ -36,7 +36,7 @@
   private String blockedPrefix = "";
   private long delayMillis;
 
-  private Relay(Vertx vertx, String host, int port) {
+  private TcpRelay(Vertx vertx, String host, int port) {
     this.vertx = vertx;
     this.client = vertx.createNetClient();
     this.host = host;
@@ -44,8 +44,8 @@
   }
 
   /** Returns a relay to {@code host} and {@code port} that does not listen yet. */
-  public static Relay to(Vertx vertx, String host, int port) {
-    return new Relay(vertx, host, port);
+  public static TcpRelay to(Vertx vertx, String host, int port) {
+    return new TcpRelay(vertx, host, port);
   }
 
   /** Starts to listen on the given host and port. */
@@ -54,7 +54,7 @@
   }
 
   /** Changes the mode; {@link Mode#CUT} also closes all open connections. */
-  public void mode(Mode newMode) {
+  public void setMode(Mode newMode) {
     mode = newMode;
     if (newMode == Mode.CUT) {
       List.copyOf(sockets).forEach(NetSocket::close);
@@ -62,7 +62,7 @@
   }
 
   /** Rejects and closes connections from addresses with this prefix; an empty one blocks none. */
-  public void cutFrom(String prefix) {
+  public void blockSource(String prefix) {
     blockedPrefix = prefix;
     List.copyOf(sockets).stream().filter(this::isBlocked).forEach(NetSocket::close);
   }
--- a/org.oatlug.test/tst/org/oatlug/internal/config/VirtualFleet.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/config/VirtualFleet.java
@@ -112,7 +112,7 @@
               this,
               membership,
               this,
-              new ConfigurationSystem.Support(time, ownRandom, meters, watchGroups));
+              new ConfigurationSystem.Dependencies(time, ownRandom, meters, watchGroups));
     }
 
     /** Records when the tables first exclude an upstream or evacuate a zone. */
@@ -124,7 +124,7 @@
         for (StoredObject object : updated) {
           String name = object.key().name();
           boolean upstream = object.key().kind().equals(GatewayKinds.UPSTREAM);
-          if (upstream ? tables.isLeaving(name) : tables.emptiedZones().contains(name)) {
+          if (upstream ? tables.isLeaving(name) : tables.evacuatedZones().contains(name)) {
             excludedAt.putIfAbsent(name, time.instant());
           }
         }
@@ -452,7 +452,7 @@
   /** Returns the instances that treat a zone as evacuated. */
   List<String> instancesEvacuating(String zone) {
     return instances.values().stream()
-        .filter(instance -> instance.tables.emptiedZones().contains(zone))
+        .filter(instance -> instance.tables.evacuatedZones().contains(zone))
         .map(Instance::name)
         .toList();
   }
--- a/org.oatlug.test/tst/org/oatlug/internal/crash/CrashLedgerTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/crash/CrashLedgerTest.java
@@ -41,7 +41,7 @@
   private void crashUpstream(CrashLedger observer, String request, String process) {
     Instant began = time.instant();
     time.run(RUN);
-    observer.upstreamEnded(request, "", process, began, time.instant());
+    observer.recordCrash(request, "", process, began, time.instant());
   }
 
   private void crashUpstream(String request, int count) {
@@ -58,12 +58,12 @@
   public void testRequestIsRefusedAfterThreeConsecutiveCrashes() {
     crashUpstream(CRASHING, 1);
     assertEquals(ledger.verdict(CRASHING), Verdict.CLEAR);
-    assertTrue(ledger.isSuspectAfter(CRASHING, "i-1"), "the next crash would be the second");
+    assertTrue(ledger.wouldBeSuspect(CRASHING, "i-1"), "the next crash would be the second");
     crashUpstream(CRASHING, 2);
     assertEquals(ledger.verdict(CRASHING), Verdict.SUSPECT);
     crashUpstream(CRASHING, 3);
     assertEquals(ledger.verdict(CRASHING), Verdict.REFUSED);
-    assertEquals(ledger.ended(CRASHING), List.of("i-0", "i-1", "i-2"));
+    assertEquals(ledger.crashedProcesses(CRASHING), List.of("i-0", "i-1", "i-2"));
   }
 
   @Test
@@ -71,7 +71,7 @@
     Instant began = time.instant();
     time.run(RUN);
     for (int number = 0; number < 6; number++) {
-      ledger.upstreamEnded(CRASHING, "", "i-" + number, began, time.instant());
+      ledger.recordCrash(CRASHING, "", "i-" + number, began, time.instant());
     }
     assertEquals(ledger.verdict(CRASHING), Verdict.SUSPECT);
   }
@@ -88,7 +88,7 @@
   @Test
   public void testCompleteResponseClearsEarlierCrashes() {
     crashUpstream(CRASHING, 3);
-    ledger.endedWell(CRASHING);
+    ledger.recordSuccess(CRASHING);
     assertEquals(ledger.verdict(CRASHING), Verdict.CLEAR);
     CrashLedger late = CrashLedger.create(time);
     replicate(ledger, late);
@@ -102,7 +102,7 @@
     for (int number = 0; number < 3; number++) {
       crashUpstream(peer, CRASHING, "i-" + number);
     }
-    ledger.endedWell(CRASHING);
+    ledger.recordSuccess(CRASHING);
     replicate(peer, ledger);
     assertEquals(ledger.verdict(CRASHING), Verdict.CLEAR);
     replicate(ledger, peer);
@@ -111,7 +111,7 @@
 
   @Test
   public void testRequestThatCrashesUpstreamsAfterItCompletedIsRefused() {
-    ledger.endedWell(CRASHING);
+    ledger.recordSuccess(CRASHING);
     crashUpstream(CRASHING, 3);
     assertEquals(ledger.verdict(CRASHING), Verdict.REFUSED);
   }
@@ -119,7 +119,7 @@
   @Test
   public void testCrashesExpire() {
     crashUpstream(CRASHING, 3);
-    Duration remaining = ledger.lapsesAfter(CRASHING);
+    Duration remaining = ledger.timeUntilExpiry(CRASHING);
     assertTrue(remaining.compareTo(CrashLedger.VALIDITY) <= 0 && !remaining.isNegative());
     time.run(remaining.plusMillis(1));
     assertEquals(ledger.verdict(CRASHING), Verdict.SUSPECT);
@@ -154,7 +154,7 @@
     crashUpstream(CRASHING, 3);
     Instant now = time.instant();
     for (int number = 0; number < 3 * CrashLedger.MAXIMUM_REQUESTS; number++) {
-      ledger.upstreamEnded(fingerprint("flood" + number), "", "i-9", now.minus(RUN), now);
+      ledger.recordCrash(fingerprint("flood" + number), "", "i-9", now.minus(RUN), now);
     }
     assertEquals(ledger.verdict(CRASHING), Verdict.REFUSED);
     assertTrue(ledger.after(0).records().size() <= CrashLedger.MAXIMUM_REQUESTS);
@@ -173,7 +173,7 @@
       for (int number = 0; number < crashes; number++) {
         crashUpstream(ledgers.get(random.nextInt(4)), request, "i-" + number);
         if (random.nextInt(4) == 0) {
-          ledgers.get(random.nextInt(4)).endedWell(request);
+          ledgers.get(random.nextInt(4)).recordSuccess(request);
         }
       }
       for (int round = 0; round < 4; round++) {
--- a/org.oatlug.test/tst/org/oatlug/internal/engine/UpstreamCallerTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/engine/UpstreamCallerTest.java
@@ -72,7 +72,7 @@
     Throwable failure = failureOf(send(vertx, port, () -> true));
     UpstreamFailedException refused = (UpstreamFailedException) failure;
     assertEquals(refused.progress(), UpstreamFailedException.Progress.REFUSED);
-    assertEquals(refused.rest(), Optional.of(Duration.ofMillis(2500)));
+    assertEquals(refused.retryAfter(), Optional.of(Duration.ofMillis(2500)));
     vertx.close().toCompletionStage().toCompletableFuture().join();
   }
 
@@ -83,7 +83,7 @@
     UpstreamCaller.Call call =
         new UpstreamCaller.Call(
             HttpMethod.POST, "/", Map.of(), Buffer.buffer("a"), true, Duration.ofSeconds(5));
-    UpstreamCaller.Attempt attempt = UpstreamCaller.Attempt.whileRight(isValid);
+    UpstreamCaller.Attempt attempt = UpstreamCaller.Attempt.validWhile(isValid);
     return UpstreamCaller.create(vertx).send("engine", upstream, call, attempt);
   }
 
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayDecisionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayDecisionTest.java
@@ -33,14 +33,14 @@
 import org.oatlug.gateway.ServiceDefinition;
 import org.oatlug.gateway.UpstreamRecord;
 import org.oatlug.gateway.WorkspaceKeys;
-import org.oatlug.internal.engine.EngineSpeeds;
-import org.oatlug.internal.engine.HeadForecast;
-import org.oatlug.internal.engine.OpenReading;
-import org.oatlug.internal.engine.ReadingLine;
+import org.oatlug.internal.engine.FirstTokenForecast;
+import org.oatlug.internal.engine.PrefillBacklog;
+import org.oatlug.internal.engine.PrefillEstimates;
+import org.oatlug.internal.engine.PrefillTimeModel;
 import org.oatlug.internal.limit.AdvertisedLimits;
 import org.oatlug.internal.limit.RateSenders;
 import org.oatlug.internal.limit.SenderSelection;
-import org.oatlug.internal.routing.ZoneReach;
+import org.oatlug.internal.routing.ZoneReachability;
 import org.oatlug.internal.util.Json;
 import org.oatlug.platform.StoreRevision;
 import org.oatlug.platform.StoredObject;
@@ -167,9 +167,9 @@
     return UpstreamSelection.create(
         "here",
         tables,
-        EngineSpeeds.create(),
-        OpenReading.create(),
-        ZoneReach.create(),
+        PrefillEstimates.create(),
+        PrefillBacklog.create(),
+        ZoneReachability.create(),
         noRateLimits(),
         unused -> false,
         new Random(1));
@@ -341,12 +341,19 @@
 
   /** Returns the upstream that an instance in the zone selects for a prompt at a prefill speed. */
   private String selectedInZone(
-      String zone, double millisPerToken, OpenReading reading, ZoneReach zones) {
-    EngineSpeeds speeds = EngineSpeeds.create();
-    speeds.heard("m", new ReadingLine(20, millisPerToken));
+      String zone, double millisPerToken, PrefillBacklog prefillBacklog, ZoneReachability zones) {
+    PrefillEstimates prefillEstimates = PrefillEstimates.create();
+    prefillEstimates.applyReported("m", new PrefillTimeModel(20, millisPerToken));
     UpstreamSelection selection =
         UpstreamSelection.create(
-            zone, tables, speeds, reading, zones, noRateLimits(), unused -> false, new Random(1));
+            zone,
+            tables,
+            prefillEstimates,
+            prefillBacklog,
+            zones,
+            noRateLimits(),
+            unused -> false,
+            new Random(1));
     List<PromptPart> parts = List.of(new PromptPart(7, 13_000), new PromptPart(8, 4000));
     Generation generation = new Generation("*", 17_000, 300, parts, OptionalInt.empty());
     UpstreamSelection.Criteria criteria =
@@ -399,8 +406,9 @@
     Set<String> homesAtSlowPrefill = new HashSet<>();
     Set<String> homesAtFastPrefill = new HashSet<>();
     for (String zone : List.of("a", "b", "c")) {
-      homesAtSlowPrefill.add(selectedInZone(zone, 0.2, OpenReading.create(), ZoneReach.create()));
-      String home = selectedInZone(zone, 0.008, OpenReading.create(), ZoneReach.create());
+      homesAtSlowPrefill.add(
+          selectedInZone(zone, 0.2, PrefillBacklog.create(), ZoneReachability.create()));
+      String home = selectedInZone(zone, 0.008, PrefillBacklog.create(), ZoneReachability.create());
       assertTrue(home.startsWith("i-" + zone), home + " for " + zone);
       homesAtFastPrefill.add(home);
     }
@@ -411,16 +419,16 @@
   @Test
   public void testBusyOrUnreachableHomeIsNotSelected() {
     upstreamsOfThreeZones();
-    String home = selectedInZone("a", 0.2, OpenReading.create(), ZoneReach.create());
-    OpenReading reading = OpenReading.create();
-    reading.heard(Map.of(home, 20_000), now);
-    assertNotEquals(selectedInZone("a", 0.2, reading, ZoneReach.create()), home);
+    String home = selectedInZone("a", 0.2, PrefillBacklog.create(), ZoneReachability.create());
+    PrefillBacklog prefillBacklog = PrefillBacklog.create();
+    prefillBacklog.applyReported(Map.of(home, 20_000), now);
+    assertNotEquals(selectedInZone("a", 0.2, prefillBacklog, ZoneReachability.create()), home);
     String homeZone = tables.upstream(home).orElseThrow().zone();
     String otherZone = homeZone.equals("a") ? "b" : "a";
-    ZoneReach zones = ZoneReach.create();
-    zones.notReached(homeZone, "i-x", now);
-    zones.notReached(homeZone, "i-y", now);
-    String selected = selectedInZone(otherZone, 0.2, OpenReading.create(), zones);
+    ZoneReachability zones = ZoneReachability.create();
+    zones.recordConnectFailure(homeZone, "i-x", now);
+    zones.recordConnectFailure(homeZone, "i-y", now);
+    String selected = selectedInZone(otherZone, 0.2, PrefillBacklog.create(), zones);
     assertNotEquals(tables.upstream(selected).orElseThrow().zone(), homeZone);
   }
 
@@ -456,7 +464,7 @@
                 0,
                 confidence,
                 Duration.ofMillis(100),
-                model -> new HeadForecast(0, prefillMillis, 1000, true)));
+                model -> new FirstTokenForecast(0, prefillMillis, 1000, true)));
   }
 
   private OptionalInt escalation(ResponseTimes times, int stage, int confidence, long elapsed) {
@@ -470,7 +478,7 @@
             stage,
             confidence,
             Duration.ofMillis(elapsed),
-            model -> new HeadForecast(0, EXPECTED_HEAD_TIME.toMillis(), 1000, true)));
+            model -> new FirstTokenForecast(0, EXPECTED_HEAD_TIME.toMillis(), 1000, true)));
   }
 
   @Test
@@ -515,7 +523,7 @@
     for (int instance = 0; instance < instances; instance++) {
       RetryBudgets budgets = RetryBudgets.within(bounds, () -> 7);
       for (int request = 0; request < firstTries; request++) {
-        budgets.of("pool").firstTry();
+        budgets.of("pool").recordFirstAttempt();
         for (int attempt = 0; attempt < 3; attempt++) {
           retries += budgets.of("pool").takeRetry() ? 1 : 0;
         }
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayServerFixture.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayServerFixture.java
@@ -104,7 +104,7 @@
 
   /** Makes the upstream ask to back off for the given time. */
   void askToBackOff(String name, Duration time) {
-    tables.row(name).restUntil(now().plus(time));
+    tables.row(name).backOffUntil(now().plus(time));
   }
 
   private static RoutingConfiguration configuration() {
@@ -185,7 +185,7 @@
     public void answered(Answer answer) {}
 
     @Override
-    public void recordEventInterval(Pace pace) {}
+    public void recordEventInterval(EventInterval interval) {}
 
     @Override
     public List<RolloutStatus> status() {
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/NewStartTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/NewStartTest.java
@@ -17,7 +17,7 @@
 import org.oatlug.config.Kinds;
 import org.oatlug.gateway.GatewayKinds;
 import org.oatlug.gateway.UpstreamRecord;
-import org.oatlug.internal.engine.OpenReading;
+import org.oatlug.internal.engine.PrefillBacklog;
 import org.oatlug.internal.table.UpstreamRow;
 import org.oatlug.internal.util.Json;
 import org.oatlug.platform.StoreRevision;
@@ -144,13 +144,13 @@
   @Test
   public void testPeerReportsOfTheEarlierStartDoNotApplyToTheNewOne() {
     UpstreamRow earlier = rowAfter(record().startedAt(1000));
-    OpenReading reading = OpenReading.create();
-    reading.begin(earlier.process(), 100);
-    reading.heard(Map.of(earlier.process(), 5000), now);
+    PrefillBacklog prefillBacklog = PrefillBacklog.create();
+    prefillBacklog.begin(earlier.process(), 100);
+    prefillBacklog.applyReported(Map.of(earlier.process(), 5000), now);
     UpstreamRow later = rowAfter(record().startedAt(2000));
-    assertEquals(reading.waitingMillis(later.process(), now), 0.0);
-    reading.begin(later.process(), 30);
-    reading.end(earlier.process(), 100);
-    assertEquals(reading.waitingMillis(later.process(), now), 30.0);
+    assertEquals(prefillBacklog.waitingMillis(later.process(), now), 0.0);
+    prefillBacklog.begin(later.process(), 30);
+    prefillBacklog.end(earlier.process(), 100);
+    assertEquals(prefillBacklog.waitingMillis(later.process(), now), 30.0);
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/RetryBudgetFleetTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/RetryBudgetFleetTest.java
@@ -40,7 +40,7 @@
     int granted = 0;
     for (int request = 0; request < requests; request++) {
       RetryBudgets budgets = fleet.get(request % fleet.size());
-      budgets.of(SERVICE).firstTry();
+      budgets.of(SERVICE).recordFirstAttempt();
       for (int attempt = 1; attempt < ATTEMPTS; attempt++) {
         granted += budgets.of(SERVICE).takeRetry() ? 1 : 0;
       }
@@ -50,7 +50,7 @@
 
   private static void sendFirstTries(List<RetryBudgets> fleet) {
     for (int round = 0; round < 200; round++) {
-      fleet.forEach(budgets -> budgets.of(SERVICE).firstTry());
+      fleet.forEach(budgets -> budgets.of(SERVICE).recordFirstAttempt());
     }
   }
 
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/RolloutDecisionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/RolloutDecisionTest.java
@@ -60,9 +60,9 @@
   @Test
   public void testBadVersionIsRefutedSoonAndGoodVersionIsNot() {
     Route route = GatewayDecisionTest.route("a", "/x/");
-    RolloutTrial good = RolloutTrial.of("v2", ORDER, OrderAge.learned(now, true));
-    RolloutTrial bad = RolloutTrial.of("v2", ORDER, OrderAge.learned(now, true));
-    RolloutTrial slow = RolloutTrial.of("v2", ORDER, OrderAge.learned(now, true));
+    RolloutTrial good = RolloutTrial.of("v2", ORDER, OrderAge.firstRead(now, true));
+    RolloutTrial bad = RolloutTrial.of("v2", ORDER, OrderAge.firstRead(now, true));
+    RolloutTrial slow = RolloutTrial.of("v2", ORDER, OrderAge.firstRead(now, true));
     Random random = new Random(20261202);
     for (int answer = 0; answer < 60; answer++) {
       for (String version : List.of("v1", "v2")) {
@@ -86,8 +86,8 @@
    */
   @Test
   public void testGoodVersionOnColdEnginesIsNotRefutedAndSlowVersionIs() {
-    RolloutTrial good = RolloutTrial.of("v2", ORDER, OrderAge.learned(now, true));
-    RolloutTrial slowUnderLoad = RolloutTrial.of("v2", ORDER, OrderAge.learned(now, true));
+    RolloutTrial good = RolloutTrial.of("v2", ORDER, OrderAge.firstRead(now, true));
+    RolloutTrial slowUnderLoad = RolloutTrial.of("v2", ORDER, OrderAge.firstRead(now, true));
     Random random = new Random(20261202);
     for (int answer = 0; answer < 100; answer++) {
       for (RolloutTrial trial : List.of(good, slowUnderLoad)) {
@@ -109,7 +109,8 @@
     good.addRemoteEvidence(
         new VersionEvidence("pool", "v2", ORDER, remote, 400L * (instances - 1), false, 0), now);
     assertFalse(
-        RolloutGuard.refutesTogether(good.totalEvidence()), "evidence " + good.totalEvidence());
+        RolloutGuard.sufficesForGlobalHalt(good.totalEvidence()),
+        "evidence " + good.totalEvidence());
     int seen = 0;
     while (!slowUnderLoad.isRefuted() && seen < 60) {
       seen++;
@@ -131,8 +132,8 @@
 
   @Test
   public void testVersionWithSlowEventsIsRefutedSoon() {
-    RolloutTrial slow = RolloutTrial.of("v2", ORDER, OrderAge.learned(now, true));
-    RolloutTrial good = RolloutTrial.of("v2", ORDER, OrderAge.learned(now, true));
+    RolloutTrial slow = RolloutTrial.of("v2", ORDER, OrderAge.firstRead(now, true));
+    RolloutTrial good = RolloutTrial.of("v2", ORDER, OrderAge.firstRead(now, true));
     Random random = new Random(20261202);
     int streams = 0;
     while (!slow.isRefuted() && streams < 100) {
@@ -140,18 +141,18 @@
       now = now.plusMillis(200);
       for (int old = 0; old < 8; old++) {
         double millis = 30 + random.nextInt(40);
-        slow.add(pace("v1", millis), now);
-        good.add(pace("v1", millis), now);
+        slow.add(eventInterval("v1", millis), now);
+        good.add(eventInterval("v1", millis), now);
       }
-      slow.add(pace("v2", 110 + random.nextInt(40)), now);
-      good.add(pace("v2", 40 + random.nextInt(50)), now);
+      slow.add(eventInterval("v2", 110 + random.nextInt(40)), now);
+      good.add(eventInterval("v2", 40 + random.nextInt(50)), now);
     }
     assertTrue(streams < 25, "refuted only after " + streams);
     assertFalse(good.isRefuted());
   }
 
-  private static VersionRule.Pace pace(String version, double millisPerEvent) {
-    return new VersionRule.Pace(
+  private static VersionRule.EventInterval eventInterval(String version, double millisPerEvent) {
+    return new VersionRule.EventInterval(
         "pool", version, GatewayDecisionTest.route("a", "/x/"), "m", millisPerEvent);
   }
 
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/SessionVersionCacheTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/SessionVersionCacheTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
-import org.oatlug.internal.gather.SeenSession;
+import org.oatlug.internal.gather.SessionObservation;
 import org.testng.annotations.Test;
 
 /** Tests which sessions are replicated to other instances, how often, and when they expire. */
@@ -24,8 +24,8 @@
     return SessionVersionCache.withPause(PAUSE, session -> session < 10);
   }
 
-  private static SeenSession seenNow(long session, String version) {
-    return new SeenSession(SERVICE, session, version, 0);
+  private static SessionObservation seenNow(long session, String version) {
+    return new SessionObservation(SERVICE, session, version, 0);
   }
 
   @Test
@@ -49,7 +49,8 @@
     Instant later = start.plusMillis(300);
     cache.recordLocal(SERVICE, 1, "v2", later);
     assertEquals(
-        cache.drainPending(later.plusMillis(40)), List.of(new SeenSession(SERVICE, 1, "v2", 40)));
+        cache.drainPending(later.plusMillis(40)),
+        List.of(new SessionObservation(SERVICE, 1, "v2", 40)));
   }
 
   @Test
@@ -69,9 +70,9 @@
     SessionVersionCache cache = sessions();
     cache.recordLocal(SERVICE, 1, "v1", start);
     Instant now = start.plusMillis(800);
-    cache.recordRemote(new SeenSession(SERVICE, 1, "v2", 900), now);
+    cache.recordRemote(new SessionObservation(SERVICE, 1, "v2", 900), now);
     assertEquals(cache.of(SERVICE).lastVersion(1, now), Optional.of("v1"));
-    cache.recordRemote(new SeenSession(SERVICE, 1, "v2", 100), now);
+    cache.recordRemote(new SessionObservation(SERVICE, 1, "v2", 100), now);
     assertEquals(cache.of(SERVICE).lastVersion(1, now), Optional.of("v2"));
   }
 
@@ -86,10 +87,12 @@
     Instant later = start.plusMillis(20);
     assertEquals(
         Set.copyOf(cache.matching(later, observation -> true)),
-        Set.of(new SeenSession(SERVICE, 1, "v1", 20), new SeenSession(SERVICE, 2, "v2", 20)));
+        Set.of(
+            new SessionObservation(SERVICE, 1, "v1", 20),
+            new SessionObservation(SERVICE, 2, "v2", 20)));
     assertEquals(
         cache.matching(later, SessionVersions.Observation::isLocal),
-        List.of(new SeenSession(SERVICE, 1, "v1", 20)));
+        List.of(new SessionObservation(SERVICE, 1, "v1", 20)));
     assertEquals(
         cache.matching(start.plus(PAUSE.multipliedBy(10)), observation -> true), List.of());
   }
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/CrashFleetTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/CrashFleetTest.java
@@ -9,7 +9,7 @@
 import java.time.Duration;
 import org.oatlug.internal.crash.RequestFingerprint;
 import org.oatlug.internal.gather.CrashSimulation.Policy;
-import org.oatlug.internal.gather.GatherFleet.Instance;
+import org.oatlug.internal.gather.StateExchangeFleet.Instance;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -38,7 +38,7 @@
 
   private static CrashSimulation simulate(
       Policy policy, int zones, int perZone, int upstreams, int guilty, long seed) {
-    GatherFleet fleet = GatherFleet.of(zones, perZone, seed);
+    StateExchangeFleet fleet = StateExchangeFleet.of(zones, perZone, seed);
     CrashSimulation simulation = new CrashSimulation(fleet, policy, upstreams, seed);
     fleet.run(SECOND);
     for (int number = 0; number < guilty; number++) {
@@ -87,7 +87,7 @@
 
   @Test(dataProvider = "sizes")
   public void testSimultaneousCrashesRefuseNoRequest(int zones, int perZone, int upstreams) {
-    GatherFleet fleet = GatherFleet.of(zones, perZone, 7);
+    StateExchangeFleet fleet = StateExchangeFleet.of(zones, perZone, 7);
     CrashSimulation simulation = new CrashSimulation(fleet, Policy.ISOLATE, upstreams, 7);
     fleet.run(SECOND);
     simulation.sendOften("often", Duration.ofMillis(5), 4000);
@@ -100,7 +100,7 @@
 
   @Test(dataProvider = "sizes")
   public void testCrashRecordsReachAllInstancesInTime(int zones, int perZone, int upstreams) {
-    GatherFleet fleet = GatherFleet.of(zones, perZone, 3);
+    StateExchangeFleet fleet = StateExchangeFleet.of(zones, perZone, 3);
     fleet.run(SECOND);
     String guilty = RequestFingerprint.of("host", "/", "", new byte[0]);
     recordCrash(fleet, guilty, 0, "i-1");
@@ -112,7 +112,7 @@
 
   @Test(dataProvider = "sizes")
   public void testCrashRecordsSurviveTheLossOfCollectors(int zones, int perZone, int upstreams) {
-    GatherFleet fleet = GatherFleet.of(zones, perZone, 4);
+    StateExchangeFleet fleet = StateExchangeFleet.of(zones, perZone, 4);
     fleet.run(SECOND);
     String guilty = RequestFingerprint.of("host", "/", "", new byte[0]);
     for (int number = 1; number <= 3; number++) {
@@ -128,7 +128,7 @@
 
   @Test(dataProvider = "sizes")
   public void testFewMessagesOnceCrashRecordsAreReplicated(int zones, int perZone, int upstreams) {
-    GatherFleet fleet = GatherFleet.of(zones, perZone, 5);
+    StateExchangeFleet fleet = StateExchangeFleet.of(zones, perZone, 5);
     fleet.run(SECOND);
     String guilty = RequestFingerprint.of("host", "/", "", new byte[0]);
     recordCrash(fleet, guilty, 0, "i-1");
@@ -139,17 +139,18 @@
     assertTrue(fleet.messages() - before <= 10 * zones * perZone, "one per second");
   }
 
-  private static void recordCrash(GatherFleet fleet, String guilty, int instance, String process) {
+  private static void recordCrash(
+      StateExchangeFleet fleet, String guilty, int instance, String process) {
     Instance observer = fleet.instances().get(instance);
     var now = fleet.clock().instant();
-    observer.ledger.upstreamEnded(guilty, "", process, now.minusMillis(20), now);
+    observer.ledger.recordCrash(guilty, "", process, now.minusMillis(20), now);
     fleet.run(Duration.ofMillis(30));
   }
 
-  private static void assertReplicated(GatherFleet fleet, String guilty) {
+  private static void assertReplicated(StateExchangeFleet fleet, String guilty) {
     for (Instance instance : fleet.instances()) {
       if (!fleet.isStopped(instance.name())) {
-        assertEquals(instance.ledger.ended(guilty).size(), 3, instance.name());
+        assertEquals(instance.ledger.crashedProcesses(guilty).size(), 3, instance.name());
       }
     }
   }
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/CrashSimulation.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/CrashSimulation.java
@@ -19,7 +19,7 @@
 import java.util.function.Supplier;
 import org.oatlug.internal.crash.CrashLedger.Verdict;
 import org.oatlug.internal.crash.RequestFingerprint;
-import org.oatlug.internal.gather.GatherFleet.Instance;
+import org.oatlug.internal.gather.StateExchangeFleet.Instance;
 
 /**
  * Simulates in virtual time a fleet whose upstreams crash under some requests while they serve
@@ -41,7 +41,7 @@
     ISOLATE
   }
 
-  private final GatherFleet fleet;
+  private final StateExchangeFleet fleet;
   private final Policy policy;
   private final Random random;
   private final List<Upstream> upstreams = new ArrayList<>();
@@ -55,7 +55,7 @@
   private int innocentServed;
   private long longRequests;
 
-  CrashSimulation(GatherFleet fleet, Policy policy, int upstreamCount, long seed) {
+  CrashSimulation(StateExchangeFleet fleet, Policy policy, int upstreamCount, long seed) {
     this.fleet = fleet;
     this.policy = policy;
     this.random = new Random(seed);
@@ -174,7 +174,7 @@
 
   private Verdict verdict(CallerRequest request) {
     if (policy == Policy.COUNT) {
-      int count = request.instance.ledger.ended(request.fingerprint).size();
+      int count = request.instance.ledger.crashedProcesses(request.fingerprint).size();
       return count >= 3 ? Verdict.REFUSED : Verdict.CLEAR;
     }
     Verdict verdict = request.instance.ledger.verdict(request.fingerprint);
@@ -289,7 +289,7 @@
     isolatedAt(run.request().instance).remove(run.request().fingerprint);
     innocentServed++;
     if (policy != Policy.COUNT && !run.request().instance.ledger.isEmpty()) {
-      run.request().instance.ledger.endedWell(run.request().fingerprint);
+      run.request().instance.ledger.recordSuccess(run.request().fingerprint);
     }
   }
 
@@ -317,8 +317,8 @@
     isolatedAt(request.instance).remove(request.fingerprint);
     boolean isSuspect =
         policy == Policy.ISOLATE
-            && request.instance.ledger.isSuspectAfter(request.fingerprint, process);
-    request.instance.ledger.upstreamEnded(request.fingerprint, "", process, run.began(), now());
+            && request.instance.ledger.wouldBeSuspect(request.fingerprint, process);
+    request.instance.ledger.recordCrash(request.fingerprint, "", process, run.began(), now());
     if (isSuspect || request.attempts >= MAXIMUM_ATTEMPTS) {
       retryLater(request);
     } else {
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/LimitFleetTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/LimitFleetTest.java
@@ -31,7 +31,7 @@
 
   @Test(dataProvider = "cases")
   public void testInstancesTogetherStayWithinLimit(int zones, int perZone, double rate) {
-    LimitSimulation simulation = new LimitSimulation(GatherFleet.of(zones, perZone, 1), 60);
+    LimitSimulation simulation = new LimitSimulation(StateExchangeFleet.of(zones, perZone, 1), 60);
     simulation.advertise(OptionalDouble.of(rate));
     simulation.run(SECOND.multipliedBy(40));
     assertWithinLimit(simulation, rate);
@@ -41,7 +41,7 @@
 
   @Test(dataProvider = "cases")
   public void testChangingLimitIsApplied(int zones, int perZone, double rate) {
-    LimitSimulation simulation = new LimitSimulation(GatherFleet.of(zones, perZone, 2), 60);
+    LimitSimulation simulation = new LimitSimulation(StateExchangeFleet.of(zones, perZone, 2), 60);
     for (int second = 0; second < 20; second++) {
       simulation.advertise(OptionalDouble.of(rate * (second % 2 + 1) / 2));
       simulation.run(SECOND);
@@ -51,7 +51,7 @@
 
   @Test(dataProvider = "cases")
   public void testEndOfLimitReachesAllInstances(int zones, int perZone, double rate) {
-    LimitSimulation simulation = new LimitSimulation(GatherFleet.of(zones, perZone, 3), 60);
+    LimitSimulation simulation = new LimitSimulation(StateExchangeFleet.of(zones, perZone, 3), 60);
     simulation.advertise(OptionalDouble.of(rate));
     simulation.run(SECOND.multipliedBy(10));
     simulation.advertise(OptionalDouble.empty());
@@ -61,7 +61,7 @@
 
   @Test(dataProvider = "cases")
   public void testLimitIsAppliedWhenOneInstanceHasRequests(int zones, int perZone, double rate) {
-    LimitSimulation simulation = new LimitSimulation(GatherFleet.of(zones, perZone, 7), 60);
+    LimitSimulation simulation = new LimitSimulation(StateExchangeFleet.of(zones, perZone, 7), 60);
     simulation.advertise(OptionalDouble.of(rate));
     simulation.run(SECOND.multipliedBy(10));
     simulation.sendOnlyFrom(instance -> instance.name().equals("entry-0-0"));
@@ -76,18 +76,18 @@
   @Test(dataProvider = "cases")
   public void testEndOfLimitReachesAllWhenOneInstanceHasRequests(
       int zones, int perZone, double rate) {
-    LimitSimulation simulation = new LimitSimulation(GatherFleet.of(zones, perZone, 6), 60);
+    LimitSimulation simulation = new LimitSimulation(StateExchangeFleet.of(zones, perZone, 6), 60);
     simulation.advertise(OptionalDouble.of(rate));
     simulation.run(SECOND.multipliedBy(10));
     simulation.sendOnlyFrom(instance -> instance.name().equals("entry-0-0"));
     simulation.advertise(OptionalDouble.empty());
-    simulation.run(SharedRateLimit.TURN.multipliedBy(perZone + 1));
+    simulation.run(SharedRateLimit.ROTATION_INTERVAL.multipliedBy(perZone + 1));
     assertEquals(simulation.limitedInstances(), 0, "still limited at instances");
   }
 
   @Test(dataProvider = "cases")
   public void testLimitReachesInstancesWithoutResponseInTime(int zones, int perZone, double rate) {
-    GatherFleet fleet = GatherFleet.of(zones, perZone, 4);
+    StateExchangeFleet fleet = StateExchangeFleet.of(zones, perZone, 4);
     fleet.run(SECOND);
     fleet.instances().get(perZone - 1).limits.advertised("i-1@1", rate);
     fleet.run(KNOWN_WITHIN);
@@ -96,7 +96,7 @@
 
   @Test(dataProvider = "cases")
   public void testLimitReachesZoneAfterPartition(int zones, int perZone, double rate) {
-    GatherFleet fleet = GatherFleet.of(zones, perZone, 5);
+    StateExchangeFleet fleet = StateExchangeFleet.of(zones, perZone, 5);
     fleet.partition("zone-1", true);
     fleet.run(SECOND);
     fleet.instances().get(0).limits.advertised("i-1@1", rate);
@@ -106,8 +106,8 @@
     assertKnown(fleet, rate);
   }
 
-  private static void assertKnown(GatherFleet fleet, double rate) {
-    for (GatherFleet.Instance instance : fleet.instances()) {
+  private static void assertKnown(StateExchangeFleet fleet, double rate) {
+    for (StateExchangeFleet.Instance instance : fleet.instances()) {
       assertEquals(instance.limits.of("i-1@1"), OptionalDouble.of(rate), instance.name());
     }
   }
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/LimitSimulation.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/LimitSimulation.java
@@ -14,7 +14,7 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 import java.util.function.Predicate;
-import org.oatlug.internal.gather.GatherFleet.Instance;
+import org.oatlug.internal.gather.StateExchangeFleet.Instance;
 import org.oatlug.internal.limit.AdvertisedLimit;
 import org.oatlug.internal.limit.RankedSenders;
 import org.oatlug.internal.limit.SharedRateLimit;
@@ -35,7 +35,7 @@
   private static final Duration SPAN = Duration.ofSeconds(4);
   private static final Duration WARM_UP = Duration.ofSeconds(6);
 
-  private final GatherFleet fleet;
+  private final StateExchangeFleet fleet;
   private final Duration interval;
   private final Map<String, Instant> firstLimitedAt = new HashMap<>();
   private final Deque<Instant> counted = new ArrayDeque<>();
@@ -45,7 +45,7 @@
   private int maximumCounted;
 
   /** Starts senders at all instances, each with a minimum interval in milliseconds. */
-  LimitSimulation(GatherFleet fleet, int pauseMillis) {
+  LimitSimulation(StateExchangeFleet fleet, int pauseMillis) {
     this.fleet = fleet;
     this.interval = Duration.ofMillis(pauseMillis);
     fleet.instances().forEach(instance -> new Sender(instance).start());
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/ReportAggregatorTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/ReportAggregatorTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import org.oatlug.internal.engine.OpenReading;
+import org.oatlug.internal.engine.PrefillBacklog;
 import org.oatlug.internal.rollout.ComparedPairs;
 import org.oatlug.internal.rollout.PairCounts;
 import org.oatlug.internal.rollout.VersionEvidence;
@@ -27,13 +27,13 @@
 
   private final Instant now = Instant.parse("2026-12-02T12:00:00Z");
 
-  private static Account report(long orderedAt, long worse, int open) {
+  private static StateReport report(long orderedAt, long worse, int open) {
     PairCounts failures = new PairCounts(worse, worse / 2);
     ComparedPairs pairs = new ComparedPairs(failures, PairCounts.NONE, PairCounts.NONE);
     VersionEvidence evidence =
         new VersionEvidence(
             "pool", "v2", StoreRevision.ofNumber(orderedAt), pairs, 2 * worse, false, 0);
-    return new Account(Map.of("i-1", open), List.of(evidence), Map.of(), Map.of());
+    return new StateReport(Map.of("i-1", open), List.of(evidence), Map.of(), Map.of());
   }
 
   /** A report of a process, with a number of worse pairs that grows with each state. */
@@ -71,7 +71,7 @@
     aggregator.putZone("there", report(7, 0, 100), now);
     assertEquals(aggregator.sumOfZone(now).openMillis(), Map.of("i-1", 23));
     assertEquals(aggregator.sumExcept("a", now).openMillis(), Map.of("i-1", 103));
-    Instant later = now.plus(OpenReading.VALID).plusMillis(1);
+    Instant later = now.plus(PrefillBacklog.VALIDITY).plusMillis(1);
     assertEquals(aggregator.sumExcept("a", later).openMillis(), Map.of());
     assertEquals(aggregator.sumExcept("a", later).evidence().size(), 1, "evidence is retained");
     Instant muchLater = now.plus(ReportAggregator.EVIDENCE_VALID).plusMillis(1);
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/GatherFleet.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/StateExchangeFleet.java
@@ -33,7 +33,7 @@
  * <p>All members are known from the start; the latency of a message is a few milliseconds, drawn
  * from the seed. Instances may be stopped, and zones partitioned. Used from one thread.
  */
-final class GatherFleet {
+final class StateExchangeFleet {
   static final String SERVICE = "pool";
   static final String VERSION = "v2";
   private static final Duration TICK = Duration.ofMillis(100);
@@ -47,28 +47,28 @@
   private int messages;
   private int messagesBetweenZones;
 
-  private GatherFleet(long seed) {
+  private StateExchangeFleet(long seed) {
     random = new Random(seed);
   }
 
   /** One instance, with its own observations and the last aggregate of all others. */
-  final class Instance implements Participant {
+  final class Instance implements ExchangeParticipant {
     final Membership membership;
-    final GatherSystem system;
+    final StateExchange system;
     final CrashLedger ledger = CrashLedger.create(time);
     final AdvertisedLimits limits = AdvertisedLimits.create(time);
     final Map<String, Integer> open = new TreeMap<>();
-    final List<SeenSession> unsent = new ArrayList<>();
-    private final List<SeenSession> reported = new ArrayList<>();
+    final List<SessionObservation> unsent = new ArrayList<>();
+    private final List<SessionObservation> reported = new ArrayList<>();
     final Set<Long> receivedSessions = new HashSet<>();
     long worse;
     boolean refuted;
-    Account others = Account.EMPTY;
+    StateReport others = StateReport.EMPTY;
 
     private Instance(Member self) {
       membership = Membership.create(self, time, new Random(random.nextLong()));
       system =
-          GatherSystem.create(
+          StateExchange.create(
               membership, this::ask, time, Meters.of(new MetricRegistry()), this, ledger);
     }
 
@@ -114,43 +114,43 @@
     }
 
     @Override
-    public Account own() {
+    public StateReport own() {
       PairCounts failures = new PairCounts(worse, 0);
       ComparedPairs pairs = new ComparedPairs(failures, PairCounts.NONE, PairCounts.NONE);
       VersionEvidence evidence =
           new VersionEvidence(
               SERVICE, VERSION, StoreRevision.ofNumber(1), pairs, worse, refuted, 0);
       List<VersionEvidence> entries = worse > 0 || refuted ? List.of(evidence) : List.of();
-      return new Account(Map.copyOf(open), entries, Map.of(), limits.observed());
+      return new StateReport(Map.copyOf(open), entries, Map.of(), limits.observed());
     }
 
     @Override
-    public List<SeenSession> newlySeen() {
-      List<SeenSession> sessions = List.copyOf(unsent);
+    public List<SessionObservation> drainPendingSessions() {
+      List<SessionObservation> sessions = List.copyOf(unsent);
       unsent.clear();
       reported.addAll(sessions);
       return sessions;
     }
 
     @Override
-    public List<SeenSession> seenHere() {
+    public List<SessionObservation> localSessions() {
       return List.copyOf(reported);
     }
 
     @Override
-    public List<SeenSession> allSeen() {
+    public List<SessionObservation> knownSessions() {
       return List.copyOf(reported);
     }
 
     @Override
-    public void heard(Account report) {
+    public void applyReported(StateReport report) {
       others = report;
       limits.applyReported(report.limits());
       refuted |= report.refuted() > 0;
     }
 
     @Override
-    public void heardSessions(List<SeenSession> sessions) {
+    public void applyReportedSessions(List<SessionObservation> sessions) {
       sessions.forEach(session -> receivedSessions.add(session.session()));
     }
 
@@ -161,8 +161,8 @@
   }
 
   /** Starts instances with complete membership. */
-  static GatherFleet of(int zones, int instancesPerZone, long seed) {
-    GatherFleet fleet = new GatherFleet(seed);
+  static StateExchangeFleet of(int zones, int instancesPerZone, long seed) {
+    StateExchangeFleet fleet = new StateExchangeFleet(seed);
     List<Member> members = new ArrayList<>();
     for (int zone = 0; zone < zones; zone++) {
       for (int number = 0; number < instancesPerZone; number++) {
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/GatherSystemTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/StateExchangeTest.java
@@ -9,9 +9,9 @@
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
-import org.oatlug.internal.crash.CrashNews;
-import org.oatlug.internal.engine.ReadingLine;
-import org.oatlug.internal.gather.GatherFleet.Instance;
+import org.oatlug.internal.crash.CrashUpdate;
+import org.oatlug.internal.engine.PrefillTimeModel;
+import org.oatlug.internal.gather.StateExchangeFleet.Instance;
 import org.oatlug.internal.limit.AdvertisedLimit;
 import org.oatlug.internal.peer.PeerMessage;
 import org.oatlug.internal.rollout.ComparedPairs;
@@ -28,7 +28,7 @@
  * <p>Direct exchange between 95 instances at an interval of 250 ms would take 35,720 messages per
  * second during a roll-out.
  */
-public class GatherSystemTest {
+public class StateExchangeTest {
   private static final Duration SECOND = Duration.ofSeconds(1);
   private static final int SECONDS = 10;
 
@@ -47,7 +47,7 @@
 
   @Test(dataProvider = "sizes")
   public void testMessageRateIsBoundedUnderFrequentChanges(int zones, int perZone) {
-    GatherFleet fleet = GatherFleet.of(zones, perZone, 1);
+    StateExchangeFleet fleet = StateExchangeFleet.of(zones, perZone, 1);
     fleet.run(SECOND);
     int before = fleet.messages();
     int betweenBefore = fleet.messagesBetweenZones();
@@ -66,7 +66,7 @@
 
   @Test(dataProvider = "sizes")
   public void testFewMessagesWhileIdle(int zones, int perZone) {
-    GatherFleet fleet = GatherFleet.of(zones, perZone, 1);
+    StateExchangeFleet fleet = StateExchangeFleet.of(zones, perZone, 1);
     fleet.run(SECOND);
     int before = fleet.messages();
     fleet.run(SECOND.multipliedBy(SECONDS));
@@ -75,7 +75,7 @@
 
   @Test(dataProvider = "sizes")
   public void testPendingPromptsReachAllInstances(int zones, int perZone) {
-    GatherFleet fleet = GatherFleet.of(zones, perZone, 2);
+    StateExchangeFleet fleet = StateExchangeFleet.of(zones, perZone, 2);
     fleet.run(SECOND);
     fleet.instances().forEach(instance -> instance.open.put("i-1", 10));
     fleet.run(KNOWN_WITHIN);
@@ -92,7 +92,7 @@
 
   @Test(dataProvider = "sizes")
   public void testEvidenceReachesAllInstancesAndCountsOnce(int zones, int perZone) {
-    GatherFleet fleet = GatherFleet.of(zones, perZone, 3);
+    StateExchangeFleet fleet = StateExchangeFleet.of(zones, perZone, 3);
     fleet.run(SECOND);
     fleet.instances().forEach(instance -> instance.worse = 2);
     fleet.run(KNOWN_WITHIN);
@@ -104,7 +104,7 @@
   /** Direct messages every 250 ms with an evaluation every 250 ms would take up to 500 ms. */
   @Test(dataProvider = "sizes")
   public void testEvidenceReachesCollectorsFirst(int zones, int perZone) {
-    GatherFleet fleet = GatherFleet.of(zones, perZone, 3);
+    StateExchangeFleet fleet = StateExchangeFleet.of(zones, perZone, 3);
     fleet.run(SECOND);
     fleet.instances().forEach(instance -> instance.worse = 2);
     fleet.run(COLLECTORS_KNOW_WITHIN);
@@ -116,12 +116,12 @@
 
   @Test(dataProvider = "sizes")
   public void testRefutationReachesAllInstancesAtOnce(int zones, int perZone) {
-    GatherFleet fleet = GatherFleet.of(zones, perZone, 4);
+    StateExchangeFleet fleet = StateExchangeFleet.of(zones, perZone, 4);
     fleet.run(SECOND);
     Instance refuter = fleet.instances().get(zones * perZone - 1);
     refuter.worse = 30;
     refuter.refuted = true;
-    refuter.system.tellNow();
+    refuter.system.sendReportNow();
     fleet.run(Duration.ofMillis(100));
     for (Instance instance : fleet.instances()) {
       assertTrue(instance.refuted, instance.name());
@@ -130,7 +130,7 @@
 
   @Test
   public void testStoppedCollectorIsReplaced() {
-    GatherFleet fleet = GatherFleet.of(5, 19, 5);
+    StateExchangeFleet fleet = StateExchangeFleet.of(5, 19, 5);
     fleet.instances().forEach(instance -> instance.worse = 1);
     fleet.run(SECOND);
     Instance collector = fleet.collectorOf("zone-0");
@@ -149,7 +149,7 @@
 
   @Test
   public void testResumedCollectorCountsNothingTwice() {
-    GatherFleet fleet = GatherFleet.of(5, 19, 6);
+    StateExchangeFleet fleet = StateExchangeFleet.of(5, 19, 6);
     fleet.instances().forEach(instance -> instance.worse = 3);
     fleet.run(SECOND);
     Instance collector = fleet.collectorOf("zone-1");
@@ -164,7 +164,7 @@
 
   @Test
   public void testZoneIsCountedOnceAfterPartition() {
-    GatherFleet fleet = GatherFleet.of(5, 19, 7);
+    StateExchangeFleet fleet = StateExchangeFleet.of(5, 19, 7);
     fleet.instances().forEach(instance -> instance.worse = 1);
     fleet.run(SECOND);
     fleet.partition("zone-2", true);
@@ -179,10 +179,12 @@
 
   @Test
   public void testSessionsReachAllInstances() {
-    GatherFleet fleet = GatherFleet.of(5, 19, 8);
+    StateExchangeFleet fleet = StateExchangeFleet.of(5, 19, 8);
     fleet.run(SECOND);
     for (int index = 0; index < fleet.instances().size(); index++) {
-      fleet.instances().get(index).unsent.add(new SeenSession(GatherFleet.SERVICE, index, "v1", 0));
+      SessionObservation session =
+          new SessionObservation(StateExchangeFleet.SERVICE, index, "v1", 0);
+      fleet.instances().get(index).unsent.add(session);
     }
     fleet.run(SECOND.multipliedBy(2));
     for (Instance instance : fleet.instances()) {
@@ -190,35 +192,35 @@
     }
   }
 
-  private static Account evidence(long worse) {
+  private static StateReport evidence(long worse) {
     PairCounts failures = new PairCounts(worse, 0);
     ComparedPairs pairs = new ComparedPairs(failures, PairCounts.NONE, PairCounts.NONE);
     VersionEvidence evidence =
         new VersionEvidence(
-            GatherFleet.SERVICE,
-            GatherFleet.VERSION,
+            StateExchangeFleet.SERVICE,
+            StateExchangeFleet.VERSION,
             StoreRevision.ofNumber(1),
             pairs,
             10,
             false,
             0);
-    return new Account(Map.of(), List.of(evidence), Map.of(), Map.of());
+    return new StateReport(Map.of(), List.of(evidence), Map.of(), Map.of());
   }
 
-  private static Account reportOf(AdvertisedLimit limit) {
-    return new Account(Map.of(), List.of(), Map.of(), Map.of("i-1@1", limit));
+  private static StateReport reportOf(AdvertisedLimit limit) {
+    return new StateReport(Map.of(), List.of(), Map.of(), Map.of("i-1@1", limit));
   }
 
   @DataProvider
   Object[][] unsoundAccounts() {
-    ReadingLine invalidSpeed = new ReadingLine(Double.NaN, -1);
+    PrefillTimeModel invalidSpeed = new PrefillTimeModel(Double.NaN, -1);
     return new Object[][] {
       {evidence(-1)},
       {evidence(Long.MAX_VALUE)},
-      {new Account(Map.of("i-1", -5), List.of(), Map.of(), Map.of())},
-      {new Account(Map.of("i-1", Integer.MAX_VALUE), List.of(), Map.of(), Map.of())},
-      {new Account(Map.of(), List.of(), Map.of("large", invalidSpeed), Map.of())},
-      {new Account(null, List.of(), Map.of(), Map.of())},
+      {new StateReport(Map.of("i-1", -5), List.of(), Map.of(), Map.of())},
+      {new StateReport(Map.of("i-1", Integer.MAX_VALUE), List.of(), Map.of(), Map.of())},
+      {new StateReport(Map.of(), List.of(), Map.of("large", invalidSpeed), Map.of())},
+      {new StateReport(null, List.of(), Map.of(), Map.of())},
       {reportOf(new AdvertisedLimit(Double.NaN, 0))},
       {reportOf(new AdvertisedLimit(-2, 0))},
       {reportOf(new AdvertisedLimit(1, -1))},
@@ -228,8 +230,8 @@
   }
 
   @Test(dataProvider = "unsoundAccounts")
-  public void testInvalidReportIsRejectedWithoutEffect(Account invalid) {
-    GatherFleet fleet = GatherFleet.of(1, 3, 9);
+  public void testInvalidReportIsRejectedWithoutEffect(StateReport invalid) {
+    StateExchangeFleet fleet = StateExchangeFleet.of(1, 3, 9);
     fleet.run(SECOND);
     Instance collector = fleet.collectorOf("zone-0");
     Instance other =
@@ -240,7 +242,7 @@
     PeerMessage response =
         collector.system.handle(
             other.membership.self(),
-            new PeerMessage.InstanceAccount(invalid, List.of(), 0, CrashNews.NONE, 0));
+            new PeerMessage.InstanceAccount(invalid, List.of(), 0, CrashUpdate.NONE, 0));
     assertTrue(response instanceof PeerMessage.Failed, "answer " + response);
     fleet.run(SECOND);
     assertEquals(other.others.openMillis(), Map.of());
--- a/org.oatlug.test/tst/org/oatlug/internal/limit/TurnLineTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/limit/DispatchQueueTest.java
@@ -18,7 +18,7 @@
  * Replays the load of an instance after a complete outage in virtual time: requests queued in its
  * socket, then more than it can process, each in several steps of one event loop.
  */
-public class TurnLineTest {
+public class DispatchQueueTest {
   private static final Duration STEP = Duration.ofMillis(25);
   private static final Duration LATENCY_TARGET = Duration.ofMillis(900);
   private static final Duration CALLER_TIMEOUT = Duration.ofSeconds(3);
@@ -87,17 +87,17 @@
     }
   }
 
-  private Outcome replay(Consumer<Request> enter) {
+  private Outcome replay(Consumer<Request> enqueue) {
     for (int number = 0; number < QUEUED_AT_START; number++) {
       Request request = new Request();
-      loop.execute(() -> enter.accept(request));
+      loop.execute(() -> enqueue.accept(request));
     }
     for (int number = 1; number <= LATER_REQUESTS; number++) {
       time.after(
           ARRIVAL_INTERVAL.multipliedBy(number),
           () -> {
             Request request = new Request();
-            loop.execute(() -> enter.accept(request));
+            loop.execute(() -> enqueue.accept(request));
           });
     }
     time.run(Duration.ofSeconds(60));
@@ -113,9 +113,10 @@
 
   @Test
   public void testQueueServesRequestsThatCanBeInTime() {
-    TurnLine<Request> queue =
-        TurnLine.create(time, loop::yield, request -> !request.hasTimedOut() && attempt(request));
-    Outcome queued = replay(queue::enter);
+    DispatchQueue<Request> queue =
+        DispatchQueue.create(
+            time, loop::yield, request -> !request.hasTimedOut() && attempt(request));
+    Outcome queued = replay(queue::enqueue);
     assertTrue(queued.inTime >= 50, "in time " + queued.inTime + " served " + queued.served);
     assertEquals(queue.waiting(), 0);
   }
@@ -135,9 +136,10 @@
   public void testRequestStartsAtOnceWithoutOverload() {
     List<String> started = new ArrayList<>();
     Iterations iterations = new Iterations();
-    TurnLine<String> queue = TurnLine.create(time, iterations.scheduled::add, started::add);
+    DispatchQueue<String> queue =
+        DispatchQueue.create(time, iterations.scheduled::add, started::add);
     for (int number = 1; number <= 100; number++) {
-      queue.enter("request-" + number);
+      queue.enqueue("request-" + number);
       assertEquals(started.size(), number);
       iterations.next();
     }
@@ -148,9 +150,10 @@
   public void testOldestStartsFirstUntilItWaitedTooLong() {
     List<String> started = new ArrayList<>();
     Iterations iterations = new Iterations();
-    TurnLine<String> queue = TurnLine.create(time, iterations.scheduled::add, started::add);
+    DispatchQueue<String> queue =
+        DispatchQueue.create(time, iterations.scheduled::add, started::add);
     for (int number = 1; number <= 20; number++) {
-      queue.enter("request-" + number);
+      queue.enqueue("request-" + number);
     }
     assertEquals(started, List.of("request-1"));
     iterations.next();
@@ -165,16 +168,16 @@
   public void testExpiredRequestUsesNoIteration() {
     List<String> started = new ArrayList<>();
     Iterations iterations = new Iterations();
-    TurnLine<String> queue =
-        TurnLine.create(
+    DispatchQueue<String> queue =
+        DispatchQueue.create(
             time,
             iterations.scheduled::add,
             request -> !request.equals("late") && started.add(request));
     for (int number = 0; number < 50; number++) {
-      queue.enter("late");
+      queue.enqueue("late");
     }
     for (int number = 0; number < 6; number++) {
-      queue.enter("request");
+      queue.enqueue("request");
     }
     assertEquals(started.size(), 1);
     assertEquals(queue.waiting(), 5);
--- a/org.oatlug.test/tst/org/oatlug/internal/limit/AskedRestTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/limit/RetryAfterTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 
 /** Tests parsing of the header {@code Retry-After} of a refusal. */
-public class AskedRestTest {
+public class RetryAfterTest {
   @DataProvider
   Object[][] rests() {
     return new Object[][] {
@@ -29,6 +29,6 @@
 
   @Test(dataProvider = "rests")
   public void testDelayIsBounded(String text, Duration expected) {
-    assertEquals(AskedRest.of(text), expected);
+    assertEquals(RetryAfter.of(text), expected);
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/internal/platform/CountedPlatformTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/platform/MeteredPlatformTest.java
@@ -22,9 +22,9 @@
 import org.testng.annotations.Test;
 
 /** Tests that calls of the store are counted by operation and kind, and only when sent. */
-public class CountedPlatformTest {
+public class MeteredPlatformTest {
   private final MetricRegistry registry = new MetricRegistry();
-  private final Platform platform = CountedPlatform.of(new FakeStore(), Meters.of(registry));
+  private final Platform platform = MeteredPlatform.of(new FakeStore(), Meters.of(registry));
 
   private long count(String name) {
     return registry.counter(name).getCount();
--- a/org.oatlug.test/tst/org/oatlug/test/ConfigurationProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/ConfigurationProcessTest.java
@@ -15,7 +15,7 @@
 import java.util.TreeSet;
 import java.util.concurrent.CompletableFuture;
 import org.oatlug.pgm.ExitCode;
-import org.oatlug.standin.Relay;
+import org.oatlug.standin.TcpRelay;
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeClass;
@@ -44,7 +44,7 @@
   @AfterMethod(alwaysRun = true)
   public void removeFaults() throws IOException {
     cluster.faults(cluster.platformPort, "{}");
-    cluster.platformRelay(0).mode(Relay.Mode.PASS);
+    cluster.platformRelay(0).setMode(TcpRelay.Mode.PASS);
     cluster.cutZone(0, false);
     for (int index = 0; index < INSTANCES; index++) {
       cluster.awaitReady(index);
@@ -125,19 +125,19 @@
   /** Checks that a zone without a connection to the platform gets changes from other zones. */
   @Test
   public void testZoneWithoutPlatformGetsChangesFromOtherZones() throws IOException {
-    cluster.platformRelay(0).mode(Relay.Mode.CUT);
+    cluster.platformRelay(0).setMode(TcpRelay.Mode.CUT);
     awaitInForceEverywhere(addVersion());
   }
 
   /** Checks that an isolated zone continues to serve, and applies the changes once reconnected. */
   @Test
   public void testIsolatedZoneContinuesToServeAndCatchesUp() throws IOException {
-    cluster.platformRelay(0).mode(Relay.Mode.CUT);
+    cluster.platformRelay(0).setMode(TcpRelay.Mode.CUT);
     cluster.cutZone(0, true);
     String name = addVersion();
     assertEquals(Http.send(cluster.chat(0, "small", false, 2)).status(), 200);
     assertFalse(isInForce(0, name));
-    cluster.platformRelay(0).mode(Relay.Mode.PASS);
+    cluster.platformRelay(0).setMode(TcpRelay.Mode.PASS);
     cluster.cutZone(0, false);
     awaitInForceEverywhere(name);
   }
@@ -248,11 +248,11 @@
         "100",
         "--wait");
     Await.until("the candidate is used", () -> usesCandidate(0));
-    cluster.platformRelay(0).mode(Relay.Mode.CUT);
+    cluster.platformRelay(0).setMode(TcpRelay.Mode.CUT);
     cluster.cutZone(0, true);
     Await.until("the candidate is no longer used", () -> !usesCandidate(0));
     assertTrue(usesCandidate(1), "the other zones continue to use the candidate");
-    cluster.platformRelay(0).mode(Relay.Mode.PASS);
+    cluster.platformRelay(0).setMode(TcpRelay.Mode.PASS);
     cluster.cutZone(0, false);
     Await.until("the candidate is used again", () -> usesCandidate(0));
     cluster.oatlug("rollout", "finish", "cut", "--wait");
--- a/org.oatlug.test/tst/org/oatlug/test/CrashingRequestProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/CrashingRequestProcessTest.java
@@ -46,7 +46,7 @@
   void start() throws IOException {
     cluster = GatewayCluster.start(ENTRIES, UPSTREAMS);
     List.copyOf(cluster.upstreams.keySet())
-        .forEach(name -> cluster.crashUnder(name, CRASHING_BODY, DOWN_MILLIS));
+        .forEach(name -> cluster.crashOn(name, CRASHING_BODY, DOWN_MILLIS));
   }
 
   @AfterMethod(alwaysRun = true)
@@ -106,7 +106,7 @@
 
   @Test
   public void testLostOrTruncatedResponsesOfLiveUpstreamsRefuseNoRequest() throws IOException {
-    for (Behaviour behaviour : List.of(Behaviour.LOSES_ANSWER, Behaviour.CUTS)) {
+    for (Behaviour behaviour : List.of(Behaviour.LOSES_RESPONSE, Behaviour.CUTS)) {
       cluster.upstreams.values().forEach(upstream -> upstream.setBehaviour(behaviour));
       for (int round = 0; round < 4 * ENTRIES; round++) {
         HttpRequest.Builder request = cluster.request(round % ENTRIES, SampleObjects.REPEATABLE);
--- a/org.oatlug.test/tst/org/oatlug/test/DecisionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/DecisionTest.java
@@ -18,10 +18,10 @@
 import org.oatlug.config.Cascade;
 import org.oatlug.internal.cascade.ConfidentStage;
 import org.oatlug.internal.cascade.RatingTable;
+import org.oatlug.internal.limit.AdmissionQueue;
 import org.oatlug.internal.limit.OpenRequests;
 import org.oatlug.internal.limit.RetryBudget;
 import org.oatlug.internal.limit.TokenBucket;
-import org.oatlug.internal.limit.WaitingLine;
 import org.oatlug.internal.rollout.CandidateEvidence;
 import org.oatlug.internal.rollout.RolloutGuard;
 
@@ -56,7 +56,7 @@
     int retries = 0;
     for (int step = 0; step < 500; step++) {
       if (random.nextBoolean()) {
-        budget.firstTry();
+        budget.recordFirstAttempt();
         firstAttempts++;
       } else if (budget.takeRetry()) {
         retries++;
@@ -70,12 +70,12 @@
   /** Checks the order by priority, then arrival, and that a full target blocks no other target. */
   @Example
   void testQueueServesByPriorityAndSkipsFullTargets() {
-    WaitingLine queue = WaitingLine.create();
+    AdmissionQueue queue = AdmissionQueue.create();
     List<String> served = new ArrayList<>();
-    enter(queue, "free", 1, "low", served, true);
-    enter(queue, "full", 9, "blocked", served, false);
-    enter(queue, "free", 8, "high", served, true);
-    enter(queue, "free", 8, "high later", served, true);
+    enqueue(queue, "free", 1, "low", served, true);
+    enqueue(queue, "full", 9, "blocked", served, false);
+    enqueue(queue, "free", 8, "high", served, true);
+    enqueue(queue, "free", 8, "high later", served, true);
     queue.serve(clock.instant());
     assertEquals(served, List.of("high", "high later", "low"));
     assertEquals(queue.size(), 1);
@@ -84,30 +84,30 @@
   /** Checks that a request that waited too long is refused at once and never served afterwards. */
   @Example
   void testQueueRefusesExpiredRequests() {
-    WaitingLine queue = WaitingLine.create();
+    AdmissionQueue queue = AdmissionQueue.create();
     List<String> served = new ArrayList<>();
-    enter(queue, "full", 5, "late", served, false);
+    enqueue(queue, "full", 5, "late", served, false);
     clock.advance(Duration.ofSeconds(9));
     queue.serve(clock.instant());
     assertEquals(served, List.of("late refused"));
     assertEquals(queue.size(), 0);
   }
 
-  private void enter(
-      WaitingLine queue,
+  private void enqueue(
+      AdmissionQueue queue,
       String target,
       int priority,
       String name,
       List<String> served,
-      boolean hasPlace) {
-    WaitingLine.Waiting waiting =
-        new WaitingLine.Waiting(
+      boolean hasCapacity) {
+    AdmissionQueue.QueuedRequest request =
+        new AdmissionQueue.QueuedRequest(
             target,
             priority,
             clock.instant().plusSeconds(10),
-            () -> hasPlace && served.add(name),
+            () -> hasCapacity && served.add(name),
             () -> served.add(name + " refused"));
-    assertTrue(queue.enter(waiting, clock.instant()).isEmpty());
+    assertTrue(queue.enqueue(request, clock.instant()).isEmpty());
   }
 
   /** Checks that requests of low priority are refused first when few places are left. */
@@ -132,7 +132,7 @@
     RatingTable ratings = RatingTable.create();
     RatingTable.Subject small = new RatingTable.Subject("desk", "tag", "small");
     for (int count = 0; count < 30; count++) {
-      ratings.handedOver(small);
+      ratings.recordSubmission(small);
     }
     Random random = new Random(1);
     for (int count = 0; count < 500; count++) {
@@ -163,7 +163,7 @@
       boolean isCandidate = count % 4 == 0;
       double errorRate = isCandidate ? candidateErrors : 0.02;
       evidence.add(RolloutGuard.Measure.ERRORS, isCandidate, random.nextDouble() < errorRate);
-      if (RolloutGuard.refutesTogether(evidence.logEvidence())) {
+      if (RolloutGuard.sufficesForGlobalHalt(evidence.logEvidence())) {
         return true;
       }
     }
--- a/org.oatlug.test/tst/org/oatlug/test/GatewayAnswerProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/GatewayAnswerProcessTest.java
@@ -173,7 +173,7 @@
 
   @Test
   public void testNonIdempotentRequestIsSentOnceWhenItsResponseIsLost() throws IOException {
-    setBehaviourOfAll(Behaviour.LOSES_ANSWER);
+    setBehaviourOfAll(Behaviour.LOSES_RESPONSE);
     Http.Answer answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
     assertEquals(answer.status(), 502);
     assertEquals(answer.notRun(), "unknown");
@@ -184,7 +184,10 @@
   public void testRepeatableRequestIsRetriedAfterEachFailure() throws IOException {
     for (Behaviour behaviour :
         List.of(
-            Behaviour.FAILS, Behaviour.LOSES_ANSWER, Behaviour.CUTS, Behaviour.ANSWERS_ANOTHER)) {
+            Behaviour.FAILS,
+            Behaviour.LOSES_RESPONSE,
+            Behaviour.CUTS,
+            Behaviour.RESPONDS_TO_ANOTHER_REQUEST)) {
       upstream(1).setBehaviour(behaviour);
       int before = upstream(1).arrivals().size();
       for (int round = 0; round < 6; round++) {
@@ -198,7 +201,7 @@
 
   @Test
   public void testResponseToAnotherRequestIsNeverForwarded() throws IOException {
-    setBehaviourOfAll(Behaviour.ANSWERS_ANOTHER);
+    setBehaviourOfAll(Behaviour.RESPONDS_TO_ANOTHER_REQUEST);
     Http.Answer answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
     assertEquals(answer.status(), 502);
     assertEquals(cluster.arrivals(), 1);
--- a/org.oatlug.test/tst/org/oatlug/test/GatewayCluster.java
+++ b/org.oatlug.test/tst/org/oatlug/test/GatewayCluster.java
@@ -132,9 +132,9 @@
    * Makes an upstream crash on each request whose body contains a text. The upstream restarts under
    * a new name after the given time.
    */
-  void crashUnder(String name, String text, long downMillis) {
+  void crashOn(String name, String text, long downMillis) {
     UpstreamStandin upstream = upstreams.get(name);
-    upstream.crashUnder(text, downMillis);
+    upstream.crashOn(text, downMillis);
     AtomicReference<String> registered = new AtomicReference<>(name);
     upstream.onRestart(
         () -> {
--- a/org.oatlug.test/tst/org/oatlug/test/GatewayStateProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/GatewayStateProcessTest.java
@@ -107,7 +107,7 @@
   @Test
   public void testUpstreamDeletedDuringWatchGapIsExcluded() throws IOException {
     cluster = GatewayCluster.start(1, 2);
-    cluster.store.deleteUnseen("servers", "i-1");
+    cluster.store.deleteWithoutNotification("servers", "i-1");
     cluster.store.compact();
     awaitNoMoreRequests(cluster.upstreams.get("i-1"));
   }
@@ -138,7 +138,7 @@
       assertEquals(status(0), 200);
     }
     assertEquals(cluster.upstreams.get("i-1").arrivals().size(), before);
-    cluster.store.thawLists();
+    cluster.store.unfreezeLists();
     UpstreamStandin third = cluster.addUpstream("i-3", "v1");
     Await.until("a new list is read", () -> status(0) == 200 && !third.arrivals().isEmpty());
   }
@@ -280,7 +280,7 @@
     cluster.addUpstream("n-2", "v2").setBehaviour(Behaviour.FAILS);
     cluster.store.put("rollouts", SampleObjects.SERVICE, rolloutOrder(30));
     Await.until("the roll-out is running", () -> cluster.rolloutState().equals("running"));
-    cluster.store.loseWrites(1);
+    cluster.store.dropWriteResponses(1);
     cluster.streamUntilRolloutIs("rolled_back");
     int failingArrivals =
         cluster.upstreams.get("n-1").arrivals().size()
--- a/org.oatlug.test/tst/org/oatlug/test/MembershipTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/MembershipTest.java
@@ -162,10 +162,10 @@
     running.get("a").merge(remote.self());
     stopped.add("far");
     for (int second = 0; second < 15; second++) {
-      running.get("a").isLost("far@1");
+      running.get("a").isUnresponsiveOrGone("far@1");
       run(10);
     }
-    assertTrue(running.get("a").isLost("far@1"));
+    assertTrue(running.get("a").isUnresponsiveOrGone("far@1"));
     assertFalse(running.get("a").isGone("far@1"));
     assertEquals(stateAt("a", "far"), Member.State.ALIVE);
   }
--- a/org.oatlug.test/tst/org/oatlug/test/MovedSessionsTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/MovedSessionsTest.java
@@ -82,7 +82,7 @@
     final SessionWorkload workload = SessionWorkload.start(fleet, SESSIONS);
     for (String name : fleet.names()) {
       if (name.endsWith("1")) {
-        fleet.delayNews(name, Duration.ofMillis(600));
+        fleet.delayStoreUpdates(name, Duration.ofMillis(600));
       }
     }
     fleet.time().run(WARM_UP);
@@ -106,7 +106,7 @@
     RolloutFleet fleet = RolloutFleet.of(3, 2, seed);
     for (String name : fleet.names()) {
       if (name.endsWith("0")) {
-        fleet.startByClock(name, Duration.ofSeconds(errorSeconds));
+        fleet.restartWithClockError(name, Duration.ofSeconds(errorSeconds));
       }
     }
     final SessionWorkload workload = SessionWorkload.start(fleet, SESSIONS);
@@ -138,7 +138,7 @@
     fleet.order(ROLLOUT_DURATION);
     Duration interval = ROLLOUT_DURATION.dividedBy(fleet.names().size() + 1L);
     for (String name : fleet.names()) {
-      fleet.setClock(name, Duration.ofSeconds(errorSeconds));
+      fleet.setClockError(name, Duration.ofSeconds(errorSeconds));
       fleet.restart(name);
       fleet.time().run(interval);
     }
@@ -157,7 +157,7 @@
       fleet.time().run(ROLLOUT_DURATION.dividedBy(4));
       for (String name : fleet.names()) {
         if (!name.startsWith("entry-" + round % 3)) {
-          fleet.setClock(name, Duration.ofSeconds(errorSeconds));
+          fleet.setClockError(name, Duration.ofSeconds(errorSeconds));
           fleet.restart(name);
         }
       }
--- a/org.oatlug.test/tst/org/oatlug/test/NamedLimitProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/NamedLimitProcessTest.java
@@ -100,7 +100,10 @@
   @DataProvider
   Object[][] answers() {
     return new Object[][] {
-      {Behaviour.REFUSES}, {Behaviour.FAILS}, {Behaviour.CUTS}, {Behaviour.ANSWERS_ANOTHER}
+      {Behaviour.REFUSES},
+      {Behaviour.FAILS},
+      {Behaviour.CUTS},
+      {Behaviour.RESPONDS_TO_ANOTHER_REQUEST}
     };
   }
 
--- a/org.oatlug.test/tst/org/oatlug/test/PublisherTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/PublisherTest.java
@@ -71,7 +71,7 @@
     publisher.publish(KEY, version("current")).await().indefinitely();
     List<Throwable> failures = new ArrayList<>();
     publisher
-        .publishOver(KEY, Optional.empty(), version("retiring"))
+        .publishIfCurrent(KEY, Optional.empty(), version("retiring"))
         .subscribe()
         .with(published -> {}, failures::add);
     ConflictException conflict = (ConflictException) failures.get(0);
--- a/org.oatlug.test/tst/org/oatlug/test/RolloutFleet.java
+++ b/org.oatlug.test/tst/org/oatlug/test/RolloutFleet.java
@@ -33,10 +33,10 @@
 import org.oatlug.internal.gateway.ReadinessGate;
 import org.oatlug.internal.gateway.RolloutDirector;
 import org.oatlug.internal.gateway.VersionRule;
-import org.oatlug.internal.gather.Account;
-import org.oatlug.internal.gather.GatherSystem;
-import org.oatlug.internal.gather.Participant;
-import org.oatlug.internal.gather.SeenSession;
+import org.oatlug.internal.gather.ExchangeParticipant;
+import org.oatlug.internal.gather.SessionObservation;
+import org.oatlug.internal.gather.StateExchange;
+import org.oatlug.internal.gather.StateReport;
 import org.oatlug.internal.membership.Membership;
 import org.oatlug.internal.metrics.Meters;
 import org.oatlug.internal.peer.Member;
@@ -111,11 +111,11 @@
   }
 
   /** One process of an instance. */
-  final class Instance implements Participant {
+  final class Instance implements ExchangeParticipant {
     private final Membership membership;
     private final GatewayTables tables;
     private final RolloutDirector director;
-    private final GatherSystem gathering;
+    private final StateExchange gathering;
     private final ReadinessGate readinessGate;
 
     private Instance(Member self, Duration clockError) {
@@ -125,9 +125,9 @@
       tables = GatewayTables.create(clock);
       director = RolloutDirector.create(tables, platform, membership, clock, meters, BOUNDS);
       gathering =
-          GatherSystem.create(
+          StateExchange.create(
               membership, this::ask, clock, meters, this, CrashLedger.create(clock));
-      director.onRefuted(gathering::tellNow);
+      director.onRefuted(gathering::sendReportNow);
       readinessGate =
           ReadinessGate.create(
               clock,
@@ -135,8 +135,8 @@
               () -> true,
               () ->
                   !tables.hasRunningRollout()
-                      || gathering.hasMet()
-                      || gathering.isInformed() && director.knowsOrderAges());
+                      || gathering.hasInitialExchange()
+                      || gathering.hasSessionRecords() && director.knowsOrderAges());
     }
 
     String name() {
@@ -203,33 +203,33 @@
     }
 
     @Override
-    public Account own() {
-      return new Account(Map.of(), director.evidence(), Map.of(), Map.of());
+    public StateReport own() {
+      return new StateReport(Map.of(), director.evidence(), Map.of(), Map.of());
     }
 
     @Override
-    public List<SeenSession> newlySeen() {
-      return director.newlySeen();
+    public List<SessionObservation> drainPendingSessions() {
+      return director.drainPendingSessions();
     }
 
     @Override
-    public List<SeenSession> seenHere() {
-      return director.seenHere();
+    public List<SessionObservation> localSessions() {
+      return director.localSessions();
     }
 
     @Override
-    public List<SeenSession> allSeen() {
-      return director.allSeen();
+    public List<SessionObservation> knownSessions() {
+      return director.knownSessions();
     }
 
     @Override
-    public void heard(Account account) {
-      account.evidence().forEach(director::heard);
+    public void applyReported(StateReport report) {
+      report.evidence().forEach(director::applyReported);
     }
 
     @Override
-    public void heardSessions(List<SeenSession> sessions) {
-      sessions.forEach(director::heardSession);
+    public void applyReportedSessions(List<SessionObservation> sessions) {
+      sessions.forEach(director::applyReportedSession);
     }
   }
 
@@ -268,18 +268,18 @@
   }
 
   /** Lets what the store says reach an instance later than the others. */
-  void delayNews(String name, Duration delay) {
+  void delayStoreUpdates(String name, Duration delay) {
     newsDelays.put(name, delay);
   }
 
   /** Lets the next start of an instance be by a clock that is off. */
-  void setClock(String name, Duration error) {
+  void setClockError(String name, Duration error) {
     clockErrors.put(name, error);
   }
 
   /** Starts an instance anew, at once, by a clock that is off. */
-  void startByClock(String name, Duration error) {
-    setClock(name, error);
+  void restartWithClockError(String name, Duration error) {
+    setClockError(name, error);
     replace(instances.get(name));
   }
 
@@ -336,7 +336,7 @@
   }
 
   /** Returns the part of the duration that has passed since the store took the order. */
-  double part() {
+  double elapsedFraction() {
     return orderedAt
         .map(at -> (double) Duration.between(at, time.instant()).toMillis() / duration.toMillis())
         .orElse(0.0);
--- a/org.oatlug.test/tst/org/oatlug/test/RouterTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/RouterTest.java
@@ -93,7 +93,7 @@
     }
     publishUpstream("engine", random.nextInt(8) == 0);
     if (random.nextBoolean()) {
-      tables.freshness().learn(Duration.ZERO, clock.instant());
+      tables.freshness().recordContact(Duration.ZERO, clock.instant());
     }
   }
 
@@ -217,7 +217,7 @@
   void testUpstreamIsNotSelectedWhileItBacksOff(@ForAll Random random) {
     publishRandomDeployment(random);
     UpstreamRow row = tables.upstreams().row("engine");
-    row.restUntil(clock.instant().plusSeconds(3));
+    row.backOffUntil(clock.instant().plusSeconds(3));
     assertTrue(decide("both", Map.of(), random).route().isEmpty());
     clock.advance(Duration.ofSeconds(2));
     assertTrue(decide("both", Map.of(), random).route().isEmpty());
--- a/org.oatlug.test/tst/org/oatlug/test/SessionWorkload.java
+++ b/org.oatlug.test/tst/org/oatlug/test/SessionWorkload.java
@@ -79,14 +79,14 @@
     boolean movedEarly =
         version.equals(RolloutSample.NEW)
             && previousVersion.equals(RolloutSample.OLD)
-            && fleet.part() < 0.5;
+            && fleet.elapsedFraction() < 0.5;
     boolean movedBack =
         version.equals(RolloutSample.OLD) && previousVersion.equals(RolloutSample.NEW);
     if (movedEarly || movedBack) {
       moves.add(
           String.format(
               "%s from %s to %s at part %.3f by %s",
-              session, previousVersion, version, fleet.part(), instance.name()));
+              session, previousVersion, version, fleet.elapsedFraction(), instance.name()));
     }
   }
 
--- a/org.oatlug.test/tst/org/oatlug/test/SilentConnectionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/SilentConnectionTest.java
@@ -19,7 +19,7 @@
 import org.oatlug.config.Settings;
 import org.oatlug.internal.peer.Member;
 import org.oatlug.internal.peer.PeerMessage;
-import org.oatlug.internal.peer.TcpPeers;
+import org.oatlug.internal.peer.TcpPeerNetwork;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -31,7 +31,7 @@
 
   private final List<Runnable> silencers = new ArrayList<>();
   private Vertx vertx;
-  private TcpPeers callerNetwork;
+  private TcpPeerNetwork callerNetwork;
   private Member relayedPeer;
 
   @BeforeMethod
@@ -40,7 +40,7 @@
     int port = Ports.free();
     int relayPort = Ports.free();
     relayedPeer = member("answering", relayPort);
-    TcpPeers answering = peers(member("answering", port));
+    TcpPeerNetwork answering = peers(member("answering", port));
     callerNetwork = peers(member("calling", Ports.free()));
     await(answering.listen());
     await(relay(port).listen(relayPort, "127.0.0.1"));
@@ -59,11 +59,11 @@
     return new Member(name, "here", "rack", "127.0.0.1", port, 1, 0, Member.State.ALIVE);
   }
 
-  private TcpPeers peers(Member self) {
+  private TcpPeerNetwork peers(Member self) {
     Settings.Peers settings =
         new Settings.Peers(
             self.host(), self.peerPort(), "key", List.of(), Optional.empty(), Optional.empty());
-    return TcpPeers.create(
+    return TcpPeerNetwork.create(
         vertx,
         settings,
         () -> self,
--- a/org.oatlug.test/tst/org/oatlug/test/SuspendedMachineTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/SuspendedMachineTest.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.oatlug.internal.table.Freshness;
 import org.oatlug.internal.util.MonotonicClock;
-import org.oatlug.internal.util.PauseWatch;
+import org.oatlug.internal.util.PauseDetector;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
@@ -69,12 +69,12 @@
   @Test
   public void testKnowledgeAgesDuringSuspension() {
     AtomicInteger pauses = new AtomicInteger();
-    final PauseWatch watch = PauseWatch.create(clock, pauses::incrementAndGet);
+    final PauseDetector detector = PauseDetector.create(clock, pauses::incrementAndGet);
     Freshness freshness = Freshness.withBound(Duration.ofSeconds(5));
-    freshness.learn(Duration.ZERO, clock.instant());
+    freshness.recordContact(Duration.ZERO, clock.instant());
     suspend(SUSPENSION);
     advance(Duration.ofMillis(100));
-    watch.check();
+    detector.check();
     assertEquals(pauses.get(), 1);
     Duration age = freshness.age(clock.instant()).orElseThrow();
     assertTrue(age.compareTo(SUSPENSION) >= 0, "the contact is " + age + " old");
--- a/org.oatlug.test/tst/org/oatlug/test/TestCluster.java
+++ b/org.oatlug.test/tst/org/oatlug/test/TestCluster.java
@@ -26,7 +26,7 @@
 import org.oatlug.internal.util.Json;
 import org.oatlug.pgm.ExitCode;
 import org.oatlug.pgm.Oatlug;
-import org.oatlug.standin.Relay;
+import org.oatlug.standin.TcpRelay;
 
 /**
  * Runs a platform, engines, services, a rating service and entry instances as separate processes on
@@ -46,8 +46,8 @@
   private final Vertx vertx = Vertx.vertx();
   private final List<Process> standins = new ArrayList<>();
   private final Map<Integer, Process> entries = new TreeMap<>();
-  private final Map<Integer, Relay> peerRelays = new TreeMap<>();
-  private final Map<String, Relay> platformRelays = new TreeMap<>();
+  private final Map<Integer, TcpRelay> peerRelays = new TreeMap<>();
+  private final Map<String, TcpRelay> platformRelays = new TreeMap<>();
   private final Map<String, Integer> platformPorts = new TreeMap<>();
   private final List<int[]> entryPorts = new ArrayList<>();
   private final List<Integer> advertisedPorts = new ArrayList<>();
@@ -139,7 +139,7 @@
     for (int index = 0; index < count; index++) {
       entryPorts.add(new int[] {Ports.free(), Ports.free(), Ports.free()});
       advertisedPorts.add(Ports.free());
-      Relay relay = Relay.to(vertx, addressOf(index), entryPorts.get(index)[2]);
+      TcpRelay relay = TcpRelay.to(vertx, addressOf(index), entryPorts.get(index)[2]);
       relay
           .listen(HOST, advertisedPorts.get(index))
           .toCompletionStage()
@@ -151,7 +151,7 @@
       node.put("host", HOST).put("peerPort", advertisedPorts.get(index)).put("leaving", false);
     }
     for (String zone : ZONES) {
-      Relay relay = Relay.to(vertx, HOST, platformPort);
+      TcpRelay relay = TcpRelay.to(vertx, HOST, platformPort);
       platformPorts.put(zone, Ports.free());
       relay.listen(HOST, platformPorts.get(zone)).toCompletionStage().toCompletableFuture().join();
       platformRelays.put(zone, relay);
@@ -335,19 +335,19 @@
   }
 
   /** Returns the relay between the zone of an instance and the platform. */
-  Relay platformRelay(int index) {
+  TcpRelay platformRelay(int index) {
     return platformRelays.get(zoneOf(index));
   }
 
   /** Isolates the zone of an instance from the instances of other zones, or reconnects it. */
   void cutZone(int index, boolean cut) {
     int zone = index % ZONES.length;
-    for (Map.Entry<Integer, Relay> relay : peerRelays.entrySet()) {
+    for (Map.Entry<Integer, TcpRelay> relay : peerRelays.entrySet()) {
       boolean sameZone = relay.getKey() % ZONES.length == zone;
       if (sameZone) {
-        relay.getValue().mode(cut ? Relay.Mode.CUT : Relay.Mode.PASS);
+        relay.getValue().setMode(cut ? TcpRelay.Mode.CUT : TcpRelay.Mode.PASS);
       } else {
-        relay.getValue().cutFrom(cut ? "127.0." + (zone + 1) + "." : "");
+        relay.getValue().blockSource(cut ? "127.0." + (zone + 1) + "." : "");
       }
     }
   }
--- a/org.oatlug.test/tst/org/oatlug/test/UpstreamSaysProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/UpstreamSaysProcessTest.java
@@ -76,7 +76,10 @@
   @DataProvider
   Object[][] answers() {
     return new Object[][] {
-      {Behaviour.SOUND}, {Behaviour.REFUSES}, {Behaviour.FAILS}, {Behaviour.ANSWERS_ANOTHER}
+      {Behaviour.SOUND},
+      {Behaviour.REFUSES},
+      {Behaviour.FAILS},
+      {Behaviour.RESPONDS_TO_ANOTHER_REQUEST}
     };
   }
 
@@ -84,7 +87,7 @@
   public void testUpstreamThatAnnouncesDrainingGetsNoNewRequests(Behaviour behaviour)
       throws IOException {
     first.setBehaviour(behaviour);
-    first.setSaysLeaving(true);
+    first.setReportsLeaving(true);
     sendUntilReceived(first);
     assertEquals(
         arrivalsOf(first, SampleObjects.REPEATABLE),
@@ -94,7 +97,7 @@
 
   @Test
   public void testStreamAnnouncesThatItsUpstreamIsDraining() throws IOException {
-    first.setSaysLeaving(true);
+    first.setReportsLeaving(true);
     int before = first.arrivals().size();
     for (int round = 0; round < ROUNDS && first.arrivals().size() == before; round++) {
       Http.send(cluster.streamRequest(0, "session-" + round));
@@ -105,7 +108,7 @@
 
   @Test
   public void testLaterReadyEntryDoesNotRevokeDraining() throws IOException {
-    first.setSaysLeaving(true);
+    first.setReportsLeaving(true);
     sendUntilReceived(first);
     cluster.store.put("servers", "i-1", cluster.entryOf("i-1").put("sequence", 2).put("slots", 9));
     cluster.store.delete("servers", "i-1");
@@ -116,7 +119,7 @@
   @Test
   public void testUpstreamThatAsksForBackoffGetsNoRequests() throws IOException {
     first.setBehaviour(Behaviour.REFUSES);
-    first.setRest("600");
+    first.setRetryAfter("600");
     sendUntilReceived(first);
     assertEquals(arrivalsOf(first, SampleObjects.REPEATABLE), 0);
     assertEquals(arrivalsOf(first, SampleObjects.ONCE), 0);
@@ -125,10 +128,10 @@
   @Test
   public void testBackoffEndsInTimeAndWithRestart() throws IOException {
     first.setBehaviour(Behaviour.REFUSES);
-    first.setRest("0.05");
+    first.setRetryAfter("0.05");
     sendUntilReceived(first);
     Await.until("the upstream gets a request again", () -> receivesRequest(first));
-    first.setRest("600");
+    first.setRetryAfter("600");
     Await.until("the upstream asks for a long back-off", () -> receivesRequest(first));
     first.setBehaviour(Behaviour.SOUND);
     cluster.store.put("servers", "i-1", cluster.entryOf("i-1").put("born", 5));
@@ -140,7 +143,7 @@
   public void testRequestIsRefusedWithRetryAfterWhenAllUpstreamsBackOff() throws IOException {
     for (UpstreamStandin upstream : List.of(first, second)) {
       upstream.setBehaviour(Behaviour.REFUSES);
-      upstream.setRest("20");
+      upstream.setRetryAfter("20");
     }
     send(SampleObjects.REPEATABLE + "x");
     send(SampleObjects.REPEATABLE + "x");
@@ -183,7 +186,7 @@
   @Test(dataProvider = "unusualBackoffs")
   public void testExtremeAndMalformedBackoffsCauseNoFailures(String backoff) throws IOException {
     first.setBehaviour(Behaviour.REFUSES);
-    first.setRest(backoff);
+    first.setRetryAfter(backoff);
     sendUntilReceived(first);
     for (int round = 0; round < ROUNDS / 4; round++) {
       assertEquals(send(SampleObjects.REPEATABLE + round).status(), 200);
--- a/org.oatlug/src/org/oatlug/config/Publisher.java
+++ b/org.oatlug/src/org/oatlug/config/Publisher.java
@@ -60,11 +60,14 @@
    * if it is not known whether the write took effect.
    */
   public Uni<Published> publish(ObjectKey key, JsonNode content) {
-    return platform.get(key).onItem().transformToUni(current -> publishOver(key, current, content));
+    return platform
+        .get(key)
+        .onItem()
+        .transformToUni(current -> publishIfCurrent(key, current, content));
   }
 
   /** Publishes content on top of the revision that the caller read. */
-  public Uni<Published> publishOver(
+  public Uni<Published> publishIfCurrent(
       ObjectKey key, Optional<StoredObject> current, JsonNode content) {
     try {
       Kinds.read(key, content);
--- a/org.oatlug/src/org/oatlug/errors/UpstreamFailedException.java
+++ b/org.oatlug/src/org/oatlug/errors/UpstreamFailedException.java
@@ -52,7 +52,7 @@
   }
 
   /** Returns the back-off that the upstream requested, empty if it requested none. */
-  public Optional<Duration> rest() {
+  public Optional<Duration> retryAfter() {
     return retryAfter;
   }
 
--- a/org.oatlug/src/org/oatlug/gateway/CallerProtocol.java
+++ b/org.oatlug/src/org/oatlug/gateway/CallerProtocol.java
@@ -18,5 +18,5 @@
   RequestHead read(HttpServerRequest request) throws RequestInvalidException;
 
   /** Returns the headers to forward to an upstream, without those that the system itself sets. */
-  MultiMap passedOn(HttpServerRequest request);
+  MultiMap forwardedHeaders(HttpServerRequest request);
 }
--- a/org.oatlug/src/org/oatlug/gateway/AnswerHead.java
+++ b/org.oatlug/src/org/oatlug/gateway/ResponseHead.java
@@ -21,12 +21,12 @@
  * @param answeredBy the upstream that responded, if reported; it differs from the addressed one if
  *     the address was reassigned
  * @param leaving whether the upstream reports that it is about to shut down
- * @param rest how long this instance has to back off from an upstream that refused; empty if not
+ * @param backOff how long this instance has to back off from an upstream that refused; empty if not
  *     requested
  * @param limitPerSecond the limit of requests per second that the upstream accepts from all
  *     instances together; empty if it advertises none
  */
-public record AnswerHead(
+public record ResponseHead(
     int status,
     Optional<String> requestId,
     Verdict verdict,
@@ -35,7 +35,7 @@
     OptionalLong coldMillis,
     Optional<String> answeredBy,
     boolean leaving,
-    Optional<Duration> rest,
+    Optional<Duration> backOff,
     OptionalDouble limitPerSecond) {
 
   /** Statement of an upstream about the execution of a request. */
--- a/org.oatlug/src/org/oatlug/gateway/UpstreamProtocol.java
+++ b/org.oatlug/src/org/oatlug/gateway/UpstreamProtocol.java
@@ -13,8 +13,8 @@
   void addTerms(MultiMap headers, AttemptTerms terms);
 
   /** Decodes the head of a response. */
-  AnswerHead read(HttpClientResponse response);
+  ResponseHead read(HttpClientResponse response);
 
   /** Returns the headers of a response to forward to the caller. */
-  MultiMap passedBack(HttpClientResponse response);
+  MultiMap responseHeaders(HttpClientResponse response);
 }
--- a/org.oatlug/src/org/oatlug/internal/billing/BillingSystem.java
+++ b/org.oatlug/src/org/oatlug/internal/billing/BillingSystem.java
@@ -90,7 +90,7 @@
   }
 
   /** Returns the number of settled bills of this instance that are not confirmed. */
-  public int unconfirmed() {
+  public int unconfirmedCount() {
     return ownBills.size();
   }
 
@@ -151,7 +151,7 @@
       submit(bill);
     }
     for (Bill bill : List.copyOf(heldBills.values())) {
-      if (membership.isLost(bill.process())) {
+      if (membership.isUnresponsiveOrGone(bill.process())) {
         submit(bill);
       }
     }
--- a/org.oatlug/src/org/oatlug/internal/cascade/RatingTable.java
+++ b/org.oatlug/src/org/oatlug/internal/cascade/RatingTable.java
@@ -25,7 +25,7 @@
   }
 
   /** Counts a response that is submitted for rating. */
-  public void handedOver(Subject subject) {
+  public void recordSubmission(Subject subject) {
     Counts previous = counts(subject);
     rows.put(subject, new Counts(previous.met(), previous.missed(), previous.unrated() + 1));
   }
--- a/org.oatlug/src/org/oatlug/internal/config/Catalogue.java
+++ b/org.oatlug/src/org/oatlug/internal/config/Catalogue.java
@@ -131,7 +131,7 @@
   }
 
   /** Returns the roll-out of this name. */
-  public Optional<Rollout> rolloutNamed(String name) {
+  public Optional<Rollout> rolloutByName(String name) {
     return content(Kinds.ROLLOUT, name, Rollout.class);
   }
 
--- a/org.oatlug/src/org/oatlug/internal/config/ConfigurationSystem.java
+++ b/org.oatlug/src/org/oatlug/internal/config/ConfigurationSystem.java
@@ -76,7 +76,7 @@
       Platform platform,
       Membership membership,
       PeerNetwork network,
-      Support support) {
+      Dependencies support) {
     this.objects = objects;
     this.freshness = freshness;
     this.platform = platform;
@@ -100,7 +100,7 @@
    * @param meters the counters
    * @param watchGroups the kinds to read; the kinds of one group share a watch
    */
-  public record Support(
+  public record Dependencies(
       InstantSource clock, RandomGenerator random, Meters meters, List<List<String>> watchGroups) {}
 
   /** Returns a system that has not read any object yet. */
@@ -110,7 +110,7 @@
       Platform platform,
       Membership membership,
       PeerNetwork network,
-      Support support) {
+      Dependencies support) {
     return new ConfigurationSystem(objects, freshness, platform, membership, network, support);
   }
 
@@ -191,7 +191,7 @@
     if (!role.isReader() && !membership.zonePeers().isEmpty()) {
       return;
     }
-    platform.instances().subscribe().with(membership::listed, failure -> {});
+    platform.instances().subscribe().with(membership::mergeListed, failure -> {});
   }
 
   private Uni<Void> listOnce() {
@@ -261,7 +261,7 @@
   }
 
   private void applyRead(List<StoredObject> received, StoreRevision revision, Origin origin) {
-    freshness.learn(Duration.ZERO, clock.instant());
+    freshness.recordContact(Duration.ZERO, clock.instant());
     List<StoredObject> updated = objects.mergeAll(received, origin);
     received.forEach(object -> recordIfIgnored(object, origin));
     if (!updated.isEmpty()) {
@@ -384,7 +384,7 @@
   /** Records the age of a peer's platform contact; this instance has all objects of the peer. */
   private void recordContactAge(long ageMillis) {
     if (ageMillis >= 0) {
-      freshness.learn(Duration.ofMillis(ageMillis), clock.instant());
+      freshness.recordContact(Duration.ofMillis(ageMillis), clock.instant());
     }
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/config/ReaderRole.java
+++ b/org.oatlug/src/org/oatlug/internal/config/ReaderRole.java
@@ -111,7 +111,7 @@
     if (startedAt.isEmpty()) {
       startedAt = Optional.of(now);
     }
-    return membership.knowsOfOthers() && now.isBefore(startedAt.get().plus(DISCOVERY_TIME));
+    return membership.hasKnownPeers() && now.isBefore(startedAt.get().plus(DISCOVERY_TIME));
   }
 
   /** Returns whether this instance reads the platform for its zone. */
@@ -136,7 +136,7 @@
   /** Requests a substitute, as calls of this instance to the platform fail repeatedly. */
   void requestSubstitute() {
     Instant now = clock.instant();
-    List<Member> candidates = membership.standInsForReader();
+    List<Member> candidates = membership.substituteReaders();
     if (!membership.isReader() || candidates.isEmpty() || now.isBefore(nextRequest)) {
       return;
     }
--- a/org.oatlug/src/org/oatlug/internal/config/StartupSync.java
+++ b/org.oatlug/src/org/oatlug/internal/config/StartupSync.java
@@ -79,7 +79,7 @@
   }
 
   private void askPeers() {
-    List<Member> candidates = membership.addressedPeers();
+    List<Member> candidates = membership.addressablePeers();
     List<Member> asked = new ArrayList<>();
     while (!candidates.isEmpty() && asked.size() < MAXIMUM_PEERS_ASKED) {
       asked.add(candidates.remove(random.nextInt(candidates.size())));
--- a/org.oatlug/src/org/oatlug/internal/crash/CrashLedger.java
+++ b/org.oatlug/src/org/oatlug/internal/crash/CrashLedger.java
@@ -59,10 +59,10 @@
 
   private final InstantSource clock;
   private final Map<String, CrashedRuns> requests = new HashMap<>();
-  private final Map<String, Instant> completed = BoundedMap.ofMost(MAXIMUM_COMPLETED);
+  private final Map<String, Instant> completed = BoundedMap.withMaximumSize(MAXIMUM_COMPLETED);
   private Instant nextPurge = Instant.EPOCH;
   private long revision;
-  private long suspectsRevision;
+  private long lastSuspectRevision;
 
   /** The verdict on a request. */
   public enum Verdict {
@@ -83,7 +83,7 @@
    * @param ended the upstream processes that crashed while they ran it
    * @param lapsesMillis the time until the earliest crash expires, in milliseconds
    */
-  public record Listed(
+  public record RestrictedRequest(
       String fingerprint, String subject, Verdict verdict, List<String> ended, long lapsesMillis) {}
 
   private CrashLedger(InstantSource clock) {
@@ -133,19 +133,19 @@
   }
 
   /** Returns whether the request runs alone if it also crashes the given upstream process. */
-  public boolean isSuspectAfter(String fingerprint, String process) {
+  public boolean wouldBeSuspect(String fingerprint, String process) {
     return find(fingerprint)
         .map(runs -> runs.crashesExcept(process) + 1 >= SUSPECT_CRASHES)
         .orElse(false);
   }
 
   /** Returns the upstream processes whose crashes count against the request. */
-  public List<String> ended(String fingerprint) {
+  public List<String> crashedProcesses(String fingerprint) {
     return find(fingerprint).map(CrashedRuns::processes).orElse(List.of());
   }
 
   /** Returns the time until the earliest crash of the request expires. */
-  public Duration lapsesAfter(String fingerprint) {
+  public Duration timeUntilExpiry(String fingerprint) {
     Instant now = clock.instant();
     return find(fingerprint)
         .flatMap(CrashedRuns::earliestCrash)
@@ -161,7 +161,7 @@
    * @param startedAt when the run started
    * @param crashedAt when the upstream crashed
    */
-  public void upstreamEnded(
+  public void recordCrash(
       String fingerprint, String subject, String process, Instant startedAt, Instant crashedAt) {
     CrashedRuns runs = getOrCreate(fingerprint, subject);
     if (runs.add(process, startedAt, crashedAt)) {
@@ -170,7 +170,7 @@
   }
 
   /** Records that a request received a complete response, which clears its earlier crashes. */
-  public void endedWell(String fingerprint) {
+  public void recordSuccess(String fingerprint) {
     completed.put(fingerprint, clock.instant());
     clear(fingerprint, "the request completed");
   }
@@ -215,7 +215,7 @@
     Verdict verdict = judge(runs);
     Verdict before = runs.update(verdict, ++revision);
     if (verdict != Verdict.CLEAR) {
-      suspectsRevision = revision;
+      lastSuspectRevision = revision;
     } else if (before == Verdict.CLEAR) {
       return;
     }
@@ -230,14 +230,14 @@
   }
 
   /** Returns the revision of the last change of a request that is not clear. */
-  public long suspectsRevision() {
-    return suspectsRevision;
+  public long lastSuspectRevision() {
+    return lastSuspectRevision;
   }
 
   /** Returns the records that changed after a revision, the earliest change first. */
-  public CrashNews after(long knownRevision) {
+  public CrashUpdate after(long knownRevision) {
     if (knownRevision >= revision) {
-      return new CrashNews(List.of(), revision);
+      return new CrashUpdate(List.of(), revision);
     }
     Instant now = clock.instant();
     List<Map.Entry<String, CrashedRuns>> updated =
@@ -248,7 +248,7 @@
             .toList();
     long upTo =
         updated.stream().mapToLong(entry -> entry.getValue().revision()).max().orElse(revision);
-    return new CrashNews(
+    return new CrashUpdate(
         updated.stream().map(entry -> entry.getValue().asOf(now, entry.getKey())).toList(), upTo);
   }
 
@@ -281,7 +281,7 @@
   }
 
   /** Returns the requests that run alone or are refused, sorted by fingerprint. */
-  public List<Listed> listed() {
+  public List<RestrictedRequest> listed() {
     return List.copyOf(requests.keySet()).stream()
         .sorted()
         .filter(fingerprint -> verdict(fingerprint) != Verdict.CLEAR)
@@ -289,13 +289,13 @@
         .toList();
   }
 
-  private Listed listed(String fingerprint) {
+  private RestrictedRequest listed(String fingerprint) {
     CrashedRuns runs = requests.get(fingerprint);
-    return new Listed(
+    return new RestrictedRequest(
         fingerprint,
         runs.subject(),
         verdict(fingerprint),
-        ended(fingerprint),
-        lapsesAfter(fingerprint).toMillis());
+        crashedProcesses(fingerprint),
+        timeUntilExpiry(fingerprint).toMillis());
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/crash/CrashNews.java
+++ b/org.oatlug/src/org/oatlug/internal/crash/CrashUpdate.java
@@ -11,12 +11,12 @@
  * @param records the records
  * @param upTo the revision to continue from
  */
-public record CrashNews(List<CrashRecord> records, long upTo) {
+public record CrashUpdate(List<CrashRecord> records, long upTo) {
   /** No records, to continue from the first revision. */
-  public static final CrashNews NONE = new CrashNews(List.of(), 0);
+  public static final CrashUpdate NONE = new CrashUpdate(List.of(), 0);
 
   /** Treats a missing list as empty. */
-  public CrashNews {
+  public CrashUpdate {
     records = records == null ? List.of() : records;
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/engine/OpenReading.java
+++ b/org.oatlug/src/org/oatlug/internal/engine/PrefillBacklog.java
@@ -13,22 +13,22 @@
  * this instance and by all others.
  *
  * <p>Invariants: {@link #end} subtracts what {@link #begin} added; a report about other instances
- * replaces the previous one and is valid for {@link #VALID}, so that lost or partitioned instances
- * do not block upstreams. Owned by one event loop, not thread-safe.
+ * replaces the previous one and is valid for {@link #VALIDITY}, so that lost or partitioned
+ * instances do not block upstreams. Owned by one event loop, not thread-safe.
  */
-public final class OpenReading {
+public final class PrefillBacklog {
   /** The time for which a report about other instances is valid: a few message intervals. */
-  public static final Duration VALID = Duration.ofSeconds(2);
+  public static final Duration VALIDITY = Duration.ofSeconds(2);
 
   private final Map<String, Double> own = new TreeMap<>();
   private Map<String, Integer> others = Map.of();
   private Instant othersValidUntil = Instant.EPOCH;
 
-  private OpenReading() {}
+  private PrefillBacklog() {}
 
-  /** Returns an empty account. */
-  public static OpenReading create() {
-    return new OpenReading();
+  /** Returns an empty backlog. */
+  public static PrefillBacklog create() {
+    return new PrefillBacklog();
   }
 
   /** Adds the prefill time of a prompt that is sent to the upstream. */
@@ -47,9 +47,9 @@
   }
 
   /** Replaces the prefill time queued by all other instances, in milliseconds by upstream. */
-  public void heard(Map<String, Integer> millis, Instant now) {
+  public void applyReported(Map<String, Integer> millis, Instant now) {
     others = millis;
-    othersValidUntil = now.plus(VALID);
+    othersValidUntil = now.plus(VALIDITY);
   }
 
   /** Returns the prefill time of the prompts queued at the upstream, in milliseconds. */
--- a/org.oatlug/src/org/oatlug/internal/engine/EngineSpeeds.java
+++ b/org.oatlug/src/org/oatlug/internal/engine/PrefillEstimates.java
@@ -22,7 +22,7 @@
  * bounded by {@link #MAXIMUM_MODELS} and {@link #MAXIMUM_UPSTREAMS}. Owned by one event loop, not
  * thread-safe.
  */
-public final class EngineSpeeds {
+public final class PrefillEstimates {
   /** The maximum models remembered: several times those in use at the design size. */
   static final int MAXIMUM_MODELS = 128;
 
@@ -34,7 +34,7 @@
    * usually are, because too slow an estimate spreads prompts, while too fast an estimate
    * concentrates them.
    */
-  private static final ReadingLine UNMEASURED = new ReadingLine(50, 0.05);
+  private static final PrefillTimeModel UNMEASURED = new PrefillTimeModel(50, 0.05);
 
   /**
    * The time in milliseconds after which the slowness of an upstream decays to about a third, the
@@ -51,9 +51,11 @@
   /** Added to both sides of a ratio, in milliseconds, because shorter times differ by chance. */
   private static final double NOISE_MILLIS = 50;
 
-  private final Map<String, PrefillSamples> samplesByModel = BoundedMap.ofMost(MAXIMUM_MODELS);
-  private final Map<String, ReadingLine> peerEstimates = BoundedMap.ofMost(MAXIMUM_MODELS);
-  private final Map<String, Slowness> upstreams = BoundedMap.ofMost(MAXIMUM_UPSTREAMS);
+  private final Map<String, PrefillSamples> samplesByModel =
+      BoundedMap.withMaximumSize(MAXIMUM_MODELS);
+  private final Map<String, PrefillTimeModel> peerEstimates =
+      BoundedMap.withMaximumSize(MAXIMUM_MODELS);
+  private final Map<String, Slowness> upstreams = BoundedMap.withMaximumSize(MAXIMUM_UPSTREAMS);
 
   /** The logarithm of the factor by which an upstream was slower than expected, and its time. */
   private record Slowness(double logarithm, Instant at) {
@@ -63,16 +65,16 @@
     }
   }
 
-  private EngineSpeeds() {}
+  private PrefillEstimates() {}
 
-  /** Returns speeds without measurements. */
-  public static EngineSpeeds create() {
-    return new EngineSpeeds();
+  /** Returns estimates without measurements. */
+  public static PrefillEstimates create() {
+    return new PrefillEstimates();
   }
 
   /** Returns the estimated prefill time of the model. */
-  public ReadingLine lineOf(String model) {
-    Optional<ReadingLine> measured =
+  public PrefillTimeModel prefillModelOf(String model) {
+    Optional<PrefillTimeModel> measured =
         Optional.ofNullable(samplesByModel.get(model)).flatMap(PrefillSamples::line);
     return measured
         .or(() -> Optional.ofNullable(peerEstimates.get(model)))
@@ -81,23 +83,23 @@
   }
 
   /** Records the estimate of a peer; used while this instance has none of its own. */
-  public void heard(String model, ReadingLine line) {
-    peerEstimates.put(model, line);
+  public void applyReported(String model, PrefillTimeModel estimate) {
+    peerEstimates.put(model, estimate);
   }
 
   /** Returns the estimates that this instance measured, by model. */
-  public Map<String, ReadingLine> measured() {
-    Map<String, ReadingLine> lines = new TreeMap<>();
+  public Map<String, PrefillTimeModel> measured() {
+    Map<String, PrefillTimeModel> estimates = new TreeMap<>();
     samplesByModel.forEach(
-        (model, samples) -> samples.line().ifPresent(measured -> lines.put(model, measured)));
-    return lines;
+        (model, samples) -> samples.line().ifPresent(measured -> estimates.put(model, measured)));
+    return estimates;
   }
 
-  private Optional<ReadingLine> slowest() {
+  private Optional<PrefillTimeModel> slowest() {
     return samplesByModel.values().stream()
         .flatMap(samples -> samples.line().stream())
-        .filter(line -> line.millisPerToken() > UNMEASURED.millisPerToken())
-        .max(Comparator.comparingDouble(ReadingLine::millisPerToken));
+        .filter(model -> model.millisPerToken() > UNMEASURED.millisPerToken())
+        .max(Comparator.comparingDouble(PrefillTimeModel::millisPerToken));
   }
 
   /** Returns the factor by which the upstream is slower than the estimates of its models. */
@@ -115,13 +117,13 @@
    * @param elapsed the time to first token
    */
   public void answered(
-      String upstream, String model, HeadForecast forecast, Duration elapsed, Instant now) {
-    double expected = forecast.waitingMillis() + forecast.readingMillis();
+      String upstream, String model, FirstTokenForecast forecast, Duration elapsed, Instant now) {
+    double expected = forecast.waitingMillis() + forecast.prefillMillis();
     double ratio = (elapsed.toMillis() + NOISE_MILLIS) / (expected + NOISE_MILLIS);
     updateSlowness(upstream, Math.log(ratio), now);
     if (forecast.certain() && expected > 0) {
       prefillOf(forecast, elapsed.toMillis())
-          .ifPresent(millis -> samplesOf(model).add(forecast.unreadTokens(), millis));
+          .ifPresent(millis -> samplesOf(model).add(forecast.uncachedTokens(), millis));
     }
   }
 
@@ -130,12 +132,13 @@
    * from a long wait. It never exceeds the elapsed time and is at least half of it if the expected
    * wait was short, so that no estimate of the wait can make prefill appear free.
    */
-  private static OptionalDouble prefillOf(HeadForecast forecast, double elapsed) {
-    double reading = forecast.readingMillis();
-    if (forecast.waitingMillis() <= reading) {
-      return OptionalDouble.of(elapsed * reading / (forecast.waitingMillis() + reading));
+  private static OptionalDouble prefillOf(FirstTokenForecast forecast, double elapsed) {
+    double prefillMillis = forecast.prefillMillis();
+    if (forecast.waitingMillis() <= prefillMillis) {
+      return OptionalDouble.of(
+          elapsed * prefillMillis / (forecast.waitingMillis() + prefillMillis));
     }
-    return reading > elapsed ? OptionalDouble.of(elapsed) : OptionalDouble.empty();
+    return prefillMillis > elapsed ? OptionalDouble.of(elapsed) : OptionalDouble.empty();
   }
 
   private PrefillSamples samplesOf(String model) {
--- a/org.oatlug/src/org/oatlug/internal/engine/PrefillSamples.java
+++ b/org.oatlug/src/org/oatlug/internal/engine/PrefillSamples.java
@@ -43,7 +43,7 @@
   /** The number of consecutive misses: positive if slower than the line, negative if faster. */
   private int misses;
 
-  private Optional<ReadingLine> line = Optional.empty();
+  private Optional<PrefillTimeModel> line = Optional.empty();
 
   /**
    * Adds a sample.
@@ -83,17 +83,17 @@
   }
 
   /** Returns the line through the samples, empty while there are too few. */
-  Optional<ReadingLine> line() {
+  Optional<PrefillTimeModel> line() {
     return line;
   }
 
-  private ReadingLine fit() {
+  private PrefillTimeModel fit() {
     double slope = medianSlope();
     double[] intercepts = new double[size];
     for (int index = 0; index < size; index++) {
       intercepts[index] = millis[index] - slope * tokens[index];
     }
-    return new ReadingLine(Math.max(0, median(intercepts, size)), slope);
+    return new PrefillTimeModel(Math.max(0, median(intercepts, size)), slope);
   }
 
   private double medianSlope() {
--- a/org.oatlug/src/org/oatlug/internal/engine/ReadingLine.java
+++ b/org.oatlug/src/org/oatlug/internal/engine/PrefillTimeModel.java
@@ -9,7 +9,7 @@
  * @param fixedMillis the time to first token of a fully cached prompt, in milliseconds
  * @param millisPerToken the additional time for each uncached token, in milliseconds
  */
-public record ReadingLine(double fixedMillis, double millisPerToken) {
+public record PrefillTimeModel(double fixedMillis, double millisPerToken) {
 
   /** Returns the prefill time of a prompt with a number of uncached tokens, in milliseconds. */
   public double millisFor(double uncachedTokens) {
--- a/org.oatlug/src/org/oatlug/internal/engine/UpstreamCaller.java
+++ b/org.oatlug/src/org/oatlug/internal/engine/UpstreamCaller.java
@@ -21,7 +21,7 @@
 import org.oatlug.config.Upstream;
 import org.oatlug.errors.UpstreamFailedException;
 import org.oatlug.errors.UpstreamFailedException.Progress;
-import org.oatlug.internal.limit.AskedRest;
+import org.oatlug.internal.limit.RetryAfter;
 
 /**
  * Sends one attempt to one upstream over HTTP.
@@ -93,7 +93,7 @@
      * Returns an attempt that is sent only if it is still valid once its connection is open,
      * because the upstream may begin to leave, or the version may be withdrawn, while it connects.
      */
-    public static Attempt whileRight(BooleanSupplier isValid) {
+    public static Attempt validWhile(BooleanSupplier isValid) {
       return new Attempt(isValid);
     }
 
@@ -168,7 +168,7 @@
     if (status == UNAVAILABLE || status == TOO_MANY_REQUESTS) {
       response.resume();
       Optional<Duration> retryAfter =
-          Optional.ofNullable(response.getHeader(RETRY_AFTER)).map(AskedRest::of);
+          Optional.ofNullable(response.getHeader(RETRY_AFTER)).map(RetryAfter::of);
       return Future.failedFuture(
           UpstreamFailedException.refused(name, "status " + status, retryAfter));
     }
--- a/org.oatlug/src/org/oatlug/internal/gateway/AttemptFeedback.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/AttemptFeedback.java
@@ -7,8 +7,8 @@
 import java.time.Duration;
 import java.time.Instant;
 import java.util.Optional;
-import org.oatlug.gateway.AnswerHead;
-import org.oatlug.internal.engine.HeadForecast;
+import org.oatlug.gateway.ResponseHead;
+import org.oatlug.internal.engine.FirstTokenForecast;
 import org.oatlug.internal.table.UpstreamRow;
 
 /**
@@ -65,7 +65,7 @@
     reservation =
         Optional.of(components.rates().reserve(chosen.name(), chosen.upstream(), started));
     promptQueued = true;
-    components.reading().begin(process, chosen.forecast().readingMillis());
+    components.prefillBacklog().begin(process, chosen.forecast().prefillMillis());
     components.versions().sent(request.service(), chosen.upstream().version(), request.head());
     request
         .head()
@@ -89,9 +89,9 @@
   }
 
   /** Records that the response begins, whatever its status, and applies its load information. */
-  void responseHeadReceived(AnswerHead head) {
+  void responseHeadReceived(ResponseHead head) {
     dequeuePrompt();
-    components.zones().reached(chosen.upstream().zone());
+    components.zones().recordResponse(chosen.upstream().zone());
     head.load()
         .ifPresent(
             load ->
@@ -100,20 +100,20 @@
                     .loads()
                     .report(chosen.row(), load.running(), load.waiting(), false));
     head.coldMillis().ifPresent(millis -> chosen.row().coldUntil(now().plusMillis(millis)));
-    head.rest().ifPresent(this::backOff);
+    head.backOff().ifPresent(this::backOff);
     applyLimit(head);
     if (head.leaving()) {
       recordLeaving(head);
     }
   }
 
-  private void backOff(Duration rest) {
+  private void backOff(Duration backOff) {
     components.meters().count("upstream.asked-for-rest");
-    chosen.row().restUntil(now().plus(rest));
+    chosen.row().backOffUntil(now().plus(backOff));
   }
 
   /** Applies the rate limit that the response advertises, or records that there is none. */
-  private void applyLimit(AnswerHead head) {
+  private void applyLimit(ResponseHead head) {
     rowOfResponse(head)
         .ifPresent(
             row -> {
@@ -134,7 +134,7 @@
   }
 
   /** Returns the row of the upstream that responded, empty if its name is not registered. */
-  private Optional<UpstreamRow> rowOfResponse(AnswerHead head) {
+  private Optional<UpstreamRow> rowOfResponse(ResponseHead head) {
     String name = head.answeredBy().orElse(chosen.name());
     if (name.equals(chosen.name())) {
       return Optional.of(chosen.row());
@@ -146,7 +146,7 @@
    * Marks the upstream that responded as leaving; it may differ from the selected one, because the
    * address may have been reassigned. A name that is not registered is ignored.
    */
-  private void recordLeaving(AnswerHead head) {
+  private void recordLeaving(ResponseHead head) {
     rowOfResponse(head)
         .filter(row -> !row.leaving())
         .ifPresent(
@@ -161,7 +161,7 @@
   private void dequeuePrompt() {
     if (promptQueued) {
       promptQueued = false;
-      components.reading().end(process, chosen.forecast().readingMillis());
+      components.prefillBacklog().end(process, chosen.forecast().prefillMillis());
     }
   }
 
@@ -189,7 +189,7 @@
 
   /** Records that no connection to the upstream could be opened. */
   void connectFailed() {
-    components.zones().notReached(chosen.upstream().zone(), chosen.name(), now());
+    components.zones().recordConnectFailure(chosen.upstream().zone(), chosen.name(), now());
   }
 
   /** Reports the outcome of the request on the upstream's version to the version rule. */
@@ -211,7 +211,7 @@
     components
         .versions()
         .recordEventInterval(
-            new VersionRule.Pace(
+            new VersionRule.EventInterval(
                 request.service(),
                 chosen.upstream().version(),
                 request.route(),
@@ -222,13 +222,13 @@
   /** Updates the estimates with the time to the response head, and meters the forecast error. */
   void recordTimeToHead() {
     components.times().recordHeadTime(timesKey(), took());
-    HeadForecast forecast = chosen.forecast();
-    if (forecast.equals(HeadForecast.NONE)) {
+    FirstTokenForecast forecast = chosen.forecast();
+    if (forecast.equals(FirstTokenForecast.NONE)) {
       return;
     }
-    Duration error = took().minus(forecast.timeToHead());
+    Duration error = took().minus(forecast.timeToFirstToken());
     components.meters().time(error.isNegative() ? "forecast.early" : "forecast.late", error.abs());
-    components.speeds().answered(process, model, forecast, took(), now());
+    components.prefillEstimates().answered(process, model, forecast, took(), now());
   }
 
   /** Records a pause between events of the stream. */
@@ -247,6 +247,6 @@
   }
 
   private ResponseTimes.Key timesKey() {
-    return new ResponseTimes.Key(request.route(), model, chosen.forecast().timeToHead());
+    return new ResponseTimes.Key(request.route(), model, chosen.forecast().timeToFirstToken());
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/BufferedResponse.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/BufferedResponse.java
@@ -50,7 +50,7 @@
     if (!callerResponse.isBegun()) {
       forwarded = true;
       callerResponse.begin(
-          response.statusCode(), components.adapter().upstreams().passedBack(response));
+          response.statusCode(), components.adapter().upstreams().responseHeaders(response));
       writer.accept(body);
     }
     writer.accept(part);
@@ -68,7 +68,7 @@
       return;
     }
     callerResponse.sendWhole(
-        response.statusCode(), components.adapter().upstreams().passedBack(response), body);
+        response.statusCode(), components.adapter().upstreams().responseHeaders(response), body);
   }
 
   /** Returns the buffered bytes to the shared limit; to be called once. */
--- a/org.oatlug/src/org/oatlug/internal/gateway/CrashGuard.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/CrashGuard.java
@@ -108,13 +108,13 @@
             suspectUpstreams.containsKey(fingerprint())
                 ? Optional.of(SUSPECT_RETRY_DELAY)
                 : Optional.empty();
-        case REFUSED -> Optional.of(ledger.lapsesAfter(fingerprint()));
+        case REFUSED -> Optional.of(ledger.timeUntilExpiry(fingerprint()));
       };
     }
 
     /** Returns the upstream processes that crashed while running the request. */
-    List<String> ended() {
-      return ledger.ended(fingerprint());
+    List<String> crashedProcesses() {
+      return ledger.crashedProcesses(fingerprint());
     }
 
     /** Records that the suspect is sent to an upstream. */
@@ -133,7 +133,7 @@
      * interrupted: if the upstream turns out to have crashed, the request becomes a suspect.
      */
     boolean blocksRetry(String process) {
-      return !ledger.isEmpty() && ledger.isSuspectAfter(fingerprint(), process);
+      return !ledger.isEmpty() && ledger.wouldBeSuspect(fingerprint(), process);
     }
 
     /**
@@ -154,14 +154,14 @@
         UpstreamSelection.Chosen chosen, Instant attemptStart, Instant interruptedAt) {
       meters.count("crash.upstream-ended");
       chosen.row().ended(interruptedAt);
-      ledger.upstreamEnded(
+      ledger.recordCrash(
           fingerprint(), request.subject(), chosen.row().process(), attemptStart, interruptedAt);
     }
 
     /** Records that the request completed with a whole response. */
-    void endedWell() {
+    void recordSuccess() {
       if (!ledger.isEmpty()) {
-        ledger.endedWell(fingerprint());
+        ledger.recordSuccess(fingerprint());
       }
     }
 
--- a/org.oatlug/src/org/oatlug/internal/gateway/CrashProbe.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/CrashProbe.java
@@ -35,7 +35,7 @@
 
   private final Vertx vertx;
   private final Map<String, List<Runnable>> pendingActions = new HashMap<>();
-  private final Map<String, Boolean> crashed = BoundedMap.ofMost(MAXIMUM_CRASHED);
+  private final Map<String, Boolean> crashed = BoundedMap.withMaximumSize(MAXIMUM_CRASHED);
 
   private Optional<NetClient> client = Optional.empty();
 
--- a/org.oatlug/src/org/oatlug/internal/gateway/Exchange.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/Exchange.java
@@ -18,7 +18,7 @@
 import org.oatlug.errors.ErrorText;
 import org.oatlug.gateway.Generation;
 import org.oatlug.gateway.Route;
-import org.oatlug.internal.engine.HeadForecast;
+import org.oatlug.internal.engine.FirstTokenForecast;
 
 /**
  * Handles one admitted request: sends it to upstreams in turn until one of them answers.
@@ -56,7 +56,7 @@
   private boolean mayHaveRun;
   private Optional<String> lastFailedVersion = Optional.empty();
   private Optional<VersionRule.VersionPreference> versionPreference = Optional.empty();
-  private Optional<VersionDecisionInputs> firstBasis = Optional.empty();
+  private Optional<VersionDecisionInputs> firstInputs = Optional.empty();
   private ExchangeAttempt currentAttempt;
 
   private Exchange(
@@ -81,9 +81,9 @@
     }
     deadlineTimer = components.deadlines().schedule(request.deadline(), this::deadlinePassed);
     callerResponse.onDisconnect(this::callerDisconnected);
-    components.budgets().of(request.service()).firstTry();
+    components.budgets().of(request.service()).recordFirstAttempt();
     stage = route.isCascade() ? components.stages().first(route) : 0;
-    components.turns().enter(this);
+    components.dispatchQueue().enqueue(this);
   }
 
   /** Sends the request to its first upstream; returns false if it could no longer be served. */
@@ -141,11 +141,12 @@
     retryAfter.ifPresent(
         delay -> {
           String text =
-              ErrorText.format(ErrorText.get().crashesUpstreams, requestGuard.ended().size());
+              ErrorText.format(
+                  ErrorText.get().crashesUpstreams, requestGuard.crashedProcesses().size());
           log()
               .log(
                   "refusing request %s, upstreams that it crashed: %s",
-                  requestGuard, requestGuard.ended());
+                  requestGuard, requestGuard.crashedProcesses());
           giveUp(RefusalReason.CRASHES_UPSTREAMS, text, delay);
         });
     return retryAfter.isPresent();
@@ -186,7 +187,9 @@
 
   private Duration retryAfterAtAcceptedRate(String service) {
     double accepted = components.rates().totalAdvertisedRate(service);
-    return components.retryAfterJitter().paced(service, accepted, components.clock().instant());
+    return components
+        .retryAfterJitter()
+        .spacedDelay(service, accepted, components.clock().instant());
   }
 
   private void startAttempt(UpstreamSelection.Chosen chosen) {
@@ -205,12 +208,12 @@
     preference
         .basis()
         .ifPresent(
-            basis ->
+            inputs ->
                 log()
                     .log(
                         "version %s %s wanted=%b met=%b failed=%s",
                         version,
-                        basis,
+                        inputs,
                         preference.wanted(),
                         satisfied,
                         lastFailedVersion.orElse("-")));
@@ -218,11 +221,11 @@
 
   private Optional<UpstreamSelection.Chosen> choose(Optional<String> model) {
     VersionRule.PriorAttempts priorAttempts =
-        new VersionRule.PriorAttempts(lastFailedVersion, firstBasis);
+        new VersionRule.PriorAttempts(lastFailedVersion, firstInputs);
     versionPreference =
         components.versions().preferenceFor(request.service(), request.head(), priorAttempts);
-    firstBasis =
-        firstBasis.or(() -> versionPreference.flatMap(VersionRule.VersionPreference::basis));
+    firstInputs =
+        firstInputs.or(() -> versionPreference.flatMap(VersionRule.VersionPreference::basis));
     Optional<UpstreamSelection.Chosen> untried = chooseExcluding(model, triedUpstreams);
     if (untried.isPresent() || currentAttempt == null || !route.isRepeatable()) {
       return untried;
@@ -316,7 +319,7 @@
                 upstreamOf
                     .apply(name)
                     .map(UpstreamSelection.Chosen::forecast)
-                    .orElse(HeadForecast.NEVER));
+                    .orElse(FirstTokenForecast.NEVER));
     OptionalInt nextStage = components.stages().replacementStage(lowConfidenceAnswer);
     if (nextStage.isEmpty()) {
       return Optional.empty();
--- a/org.oatlug/src/org/oatlug/internal/gateway/ExchangeAttempt.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/ExchangeAttempt.java
@@ -13,15 +13,15 @@
 import org.oatlug.api.RefusalReason;
 import org.oatlug.errors.ErrorText;
 import org.oatlug.errors.UpstreamFailedException.Progress;
-import org.oatlug.gateway.AnswerHead;
 import org.oatlug.gateway.AttemptTerms;
+import org.oatlug.gateway.ResponseHead;
 import org.oatlug.gateway.Route;
 import org.oatlug.gateway.RouteKind;
 import org.oatlug.gateway.WorkspaceKeys;
 import org.oatlug.internal.crash.CrashLedger.Verdict;
-import org.oatlug.internal.engine.HeadForecast;
+import org.oatlug.internal.engine.FirstTokenForecast;
 import org.oatlug.internal.gateway.UpstreamEligibility.Exclusion;
-import org.oatlug.internal.routing.Urgency;
+import org.oatlug.internal.routing.RequestPriority;
 
 /**
  * One attempt of an exchange at one upstream, and the handling of its answer.
@@ -97,7 +97,7 @@
   }
 
   private void logSent() {
-    HeadForecast forecast = chosen.forecast();
+    FirstTokenForecast forecast = chosen.forecast();
     exchange.log().log(
         "attempt=%d route=%s upstream=%s revision=%s version=%s model=%s load=%d left=%d after=%s"
             + " unread=%.0f waiting=%.0f expected=%d",
@@ -110,9 +110,9 @@
         chosen.row().expectedLoad(),
         exchange.remainingTime().toMillis(),
         relay.lastEventId(),
-        forecast.unreadTokens(),
+        forecast.uncachedTokens(),
         forecast.waitingMillis(),
-        forecast.timeToHead().toMillis());
+        forecast.timeToFirstToken().toMillis());
   }
 
   private UpstreamConnection.OutgoingRequest outgoingRequest() {
@@ -153,7 +153,7 @@
   private int priority() {
     int basePriority =
         request.workspace().flatMap(WorkspaceKeys::priority).orElse(route.priority());
-    return Urgency.of(basePriority, chosen.forecast(), route.goalMillis());
+    return RequestPriority.of(basePriority, chosen.forecast(), route.goalMillis());
   }
 
   /** Ends the attempt without a result and closes its connection. */
@@ -227,14 +227,14 @@
   public void headReceived(HttpClientResponse received) {
     response = received;
     activityReceived();
-    AnswerHead head = components.adapter().upstreams().read(received);
+    ResponseHead head = components.adapter().upstreams().read(received);
     feedback.responseHeadReceived(head);
     if (!head.requestId().equals(Optional.of(request.head().id()))) {
       connection.cancel();
       failed(Progress.ANSWERING, "the answer belongs to another request");
       return;
     }
-    if (head.verdict() != AnswerHead.Verdict.RAN) {
+    if (head.verdict() != ResponseHead.Verdict.RAN) {
       handleRefusal(head);
       return;
     }
@@ -254,15 +254,15 @@
   }
 
   private void logAnswerBegin() {
-    HeadForecast forecast = chosen.forecast();
-    if (!forecast.equals(HeadForecast.NONE)) {
-      logEvent("answer begins expected=" + forecast.timeToHead().toMillis());
+    FirstTokenForecast forecast = chosen.forecast();
+    if (!forecast.equals(FirstTokenForecast.NONE)) {
+      logEvent("answer begins expected=" + forecast.timeToFirstToken().toMillis());
     }
   }
 
-  private void handleRefusal(AnswerHead head) {
+  private void handleRefusal(ResponseHead head) {
     abandon();
-    boolean wrongUpstream = head.verdict() == AnswerHead.Verdict.WRONG_UPSTREAM;
+    boolean wrongUpstream = head.verdict() == ResponseHead.Verdict.WRONG_UPSTREAM;
     if (wrongUpstream) {
       chosen.row().markLeaving();
     } else {
@@ -271,7 +271,7 @@
     logEvent(
         "refused by upstream status="
             + head.status()
-            + head.rest().map(rest -> " rest=" + rest.toMillis()).orElse(""));
+            + head.backOff().map(backOff -> " rest=" + backOff.toMillis()).orElse(""));
     if (exchange.tryAcquireRetry(wrongUpstream ? "upstream-moved" : "upstream-refused")) {
       exchange.sendToNextUpstream();
     } else {
@@ -280,7 +280,7 @@
   }
 
   /** Starts another attempt after a failure of the upstream; returns whether it did. */
-  private boolean retryAfterFailure(AnswerHead head) {
+  private boolean retryAfterFailure(ResponseHead head) {
     exchange.markMayHaveRun();
     feedback.failed();
     if (!route.isRepeatable()) {
@@ -296,7 +296,7 @@
   }
 
   /** Drops a low-confidence answer and tries another model; returns whether it did. */
-  private boolean replaceWithOtherModel(AnswerHead head) {
+  private boolean replaceWithOtherModel(ResponseHead head) {
     boolean replaceable = route.isCascade() && route.isRepeatable() && !callerResponse.isBegun();
     if (!replaceable || head.confidence().isEmpty()) {
       return false;
@@ -314,7 +314,7 @@
     return true;
   }
 
-  private void accept(AnswerHead head) {
+  private void accept(ResponseHead head) {
     exchange.markMayHaveRun();
     String contentType = response.getHeader("Content-Type");
     streaming =
@@ -371,7 +371,7 @@
     if (callerResponse.isBegun()) {
       return;
     }
-    MultiMap headers = components.adapter().upstreams().passedBack(response);
+    MultiMap headers = components.adapter().upstreams().responseHeaders(response);
     headers.remove("Content-Length");
     callerResponse.begin(response.statusCode(), headers);
     components.meters().time("first-event." + route.name(), exchange.elapsed());
@@ -385,7 +385,7 @@
     }
     release();
     if (isDelimited()) {
-      exchange.requestGuard().endedWell();
+      exchange.requestGuard().recordSuccess();
     }
     if (response.statusCode() < FIRST_SERVER_ERROR) {
       feedback.succeeded();
--- a/org.oatlug/src/org/oatlug/internal/gateway/ExpectedValueRule.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/ExpectedValueRule.java
@@ -9,7 +9,7 @@
 import org.oatlug.gateway.Generation;
 import org.oatlug.gateway.Route;
 import org.oatlug.gateway.ServiceDefinition;
-import org.oatlug.internal.engine.HeadForecast;
+import org.oatlug.internal.engine.FirstTokenForecast;
 
 /**
  * Starts a cascade with the smallest model and escalates directly to the largest if that has the
@@ -82,7 +82,7 @@
     double goodProbability = probabilityOfGood(answer.confidence());
     double acceptValue = goodProbability + (1 - goodProbability) * POOR_VALUE;
     String model = answer.route().models().get(largest);
-    HeadForecast forecast = answer.expected().apply(model);
+    FirstTokenForecast forecast = answer.expected().apply(model);
     double escalateValue =
         expectedValue(answer, model, forecast)
             - relativePrice(answer, model)
@@ -101,14 +101,16 @@
    * it, and the longer it takes, the more of them are late. It is zero on a route without a goal,
    * where no response counts as late.
    */
-  private static double queueingLoss(LowConfidenceAnswer answer, HeadForecast forecast) {
+  private static double queueingLoss(LowConfidenceAnswer answer, FirstTokenForecast forecast) {
     long goal = answer.route().goalMillis();
-    return goal > 0 ? QUEUEING_LOSS * forecast.readingMillis() / goal : 0;
+    return goal > 0 ? QUEUEING_LOSS * forecast.prefillMillis() / goal : 0;
   }
 
-  private double expectedValue(LowConfidenceAnswer answer, String model, HeadForecast forecast) {
+  private double expectedValue(
+      LowConfidenceAnswer answer, String model, FirstTokenForecast forecast) {
     Duration remaining = Duration.ofMillis(answer.route().goalMillis()).minus(answer.elapsed());
-    ResponseTimes.Key key = new ResponseTimes.Key(answer.route(), model, forecast.timeToHead());
+    ResponseTimes.Key key =
+        new ResponseTimes.Key(answer.route(), model, forecast.timeToFirstToken());
     double inTimeProbability = times.probabilityOfHeadWithin(key, remaining);
     return inTimeProbability + (1 - inTimeProbability) * LATE_VALUE;
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayComponents.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayComponents.java
@@ -11,13 +11,13 @@
 import org.oatlug.gateway.DeploymentAdapter;
 import org.oatlug.gateway.GatewaySettings;
 import org.oatlug.internal.crash.CrashLedger;
-import org.oatlug.internal.engine.EngineSpeeds;
-import org.oatlug.internal.engine.OpenReading;
+import org.oatlug.internal.engine.PrefillBacklog;
+import org.oatlug.internal.engine.PrefillEstimates;
 import org.oatlug.internal.limit.AdvertisedLimits;
+import org.oatlug.internal.limit.DispatchQueue;
 import org.oatlug.internal.limit.RateSenders;
-import org.oatlug.internal.limit.TurnLine;
 import org.oatlug.internal.metrics.Meters;
-import org.oatlug.internal.routing.ZoneReach;
+import org.oatlug.internal.routing.ZoneReachability;
 
 /**
  * Holds the components of one instance that serve requests. Immutable; the components are owned by
@@ -29,8 +29,8 @@
  * @param adapter the wire formats of the deployment
  * @param client the HTTP client for upstreams
  * @param tables the state of services, upstreams and roll-outs
- * @param speeds the measured prefill speeds of engines
- * @param reading the prompts that wait for prefill at upstreams
+ * @param prefillEstimates the estimated prefill times of engines
+ * @param prefillBacklog the prompts that wait for prefill at upstreams
  * @param zones the reachability of availability zones
  * @param limits the rate limits that upstreams advertise
  * @param rates limits the rate of all instances together to cold or rate-limited upstreams
@@ -40,7 +40,7 @@
  * @param versions chooses versions during a roll-out
  * @param budgets the retry budgets
  * @param deadlines the deadline timers of open requests
- * @param turns the queue of requests that have not started
+ * @param dispatchQueue the queue of requests that have not started
  * @param retryAfterJitter computes the retry delays of refused callers
  * @param times the measured times of responses
  * @param bodyMemory the memory budget of request and response bodies
@@ -54,9 +54,9 @@
     DeploymentAdapter adapter,
     HttpClient client,
     GatewayTables tables,
-    EngineSpeeds speeds,
-    OpenReading reading,
-    ZoneReach zones,
+    PrefillEstimates prefillEstimates,
+    PrefillBacklog prefillBacklog,
+    ZoneReachability zones,
     AdvertisedLimits limits,
     UpstreamRateLimits rates,
     CrashGuard crashes,
@@ -65,7 +65,7 @@
     VersionRule versions,
     RetryBudgets budgets,
     DeadlineTimers deadlines,
-    TurnLine<Exchange> turns,
+    DispatchQueue<Exchange> dispatchQueue,
     RetryAfterJitter retryAfterJitter,
     ResponseTimes times,
     BodyMemoryBudget bodyMemory,
@@ -99,9 +99,9 @@
       RandomGenerator random,
       Meters meters) {
     ResponseTimes times = ResponseTimes.create(clock);
-    EngineSpeeds speeds = EngineSpeeds.create();
-    OpenReading reading = OpenReading.create();
-    ZoneReach zones = ZoneReach.create();
+    PrefillEstimates prefillEstimates = PrefillEstimates.create();
+    PrefillBacklog prefillBacklog = PrefillBacklog.create();
+    ZoneReachability zones = ZoneReachability.create();
     AdvertisedLimits limits = AdvertisedLimits.create(clock);
     UpstreamRateLimits rates =
         UpstreamRateLimits.create(tables, settings.bounds(), limits, senders);
@@ -113,19 +113,26 @@
         adapter,
         UpstreamConnection.newClient(vertx),
         tables,
-        speeds,
-        reading,
+        prefillEstimates,
+        prefillBacklog,
         zones,
         limits,
         rates,
         crashes,
         UpstreamSelection.create(
-            settings.zone(), tables, speeds, reading, zones, rates, crashes::runsSuspect, random),
+            settings.zone(),
+            tables,
+            prefillEstimates,
+            prefillBacklog,
+            zones,
+            rates,
+            crashes::runsSuspect,
+            random),
         ExpectedValueRule.create(tables, times),
         versions,
         RetryBudgets.within(settings.bounds(), instances),
         DeadlineTimers.create(vertx, clock),
-        TurnLine.create(
+        DispatchQueue.create(
             clock, task -> vertx.runOnContext(unused -> task.run()), Exchange::sendFirst),
         RetryAfterJitter.by(random, instances),
         times,
--- /dev/null
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayParticipant.java
@@ -0,0 +1,80 @@
+// Copyright (c) 2026, the oatlug authors
+// SPDX-License-Identifier: BSD-3-Clause
+
+package org.oatlug.internal.gateway;
+
+import java.time.Duration;
+import java.time.Instant;
+import java.util.List;
+import java.util.Map;
+import org.oatlug.internal.engine.PrefillTimeModel;
+import org.oatlug.internal.gather.ExchangeParticipant;
+import org.oatlug.internal.gather.SessionObservation;
+import org.oatlug.internal.gather.StateReport;
+
+/**
+ * Exchanges the gateway's state with other instances: prompts waiting for prefill, prefill speeds,
+ * evidence about versions under roll-out and rate limits of upstreams. Owned by one event loop, not
+ * thread-safe.
+ */
+public final class GatewayParticipant implements ExchangeParticipant {
+  /** The interval at which speeds are sent; they change with each answer but may be 1 s old. */
+  private static final Duration SPEEDS_INTERVAL = Duration.ofSeconds(1);
+
+  private final GatewayComponents components;
+  private final RolloutDirector rollouts;
+  private Map<String, PrefillTimeModel> speeds = Map.of();
+  private Instant speedsAt = Instant.EPOCH;
+
+  private GatewayParticipant(GatewayComponents components, RolloutDirector rollouts) {
+    this.components = components;
+    this.rollouts = rollouts;
+  }
+
+  /** Returns the participant that exchanges the state of these components. */
+  public static GatewayParticipant of(GatewayComponents components, RolloutDirector rollouts) {
+    return new GatewayParticipant(components, rollouts);
+  }
+
+  @Override
+  public StateReport own() {
+    Instant now = components.clock().instant();
+    if (!now.isBefore(speedsAt.plus(SPEEDS_INTERVAL))) {
+      speeds = components.prefillEstimates().measured();
+      speedsAt = now;
+    }
+    return new StateReport(
+        components.prefillBacklog().own(),
+        rollouts.evidence(),
+        speeds,
+        components.limits().observed());
+  }
+
+  @Override
+  public List<SessionObservation> drainPendingSessions() {
+    return rollouts.drainPendingSessions();
+  }
+
+  @Override
+  public List<SessionObservation> localSessions() {
+    return rollouts.localSessions();
+  }
+
+  @Override
+  public List<SessionObservation> knownSessions() {
+    return rollouts.knownSessions();
+  }
+
+  @Override
+  public void applyReported(StateReport remote) {
+    components.prefillBacklog().applyReported(remote.openMillis(), components.clock().instant());
+    remote.speeds().forEach(components.prefillEstimates()::applyReported);
+    remote.evidence().forEach(rollouts::applyReported);
+    components.limits().applyReported(remote.limits());
+  }
+
+  @Override
+  public void applyReportedSessions(List<SessionObservation> sessions) {
+    sessions.forEach(rollouts::applyReportedSession);
+  }
+}
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayServer.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayServer.java
@@ -175,7 +175,7 @@
         admitted.workspace(),
         request.method(),
         request.uri(),
-        components.adapter().callers().passedOn(request),
+        components.adapter().callers().forwardedHeaders(request),
         body,
         hasBody,
         arrived,
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayTables.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayTables.java
@@ -193,7 +193,7 @@
     String zone = object.key().name();
     boolean ended = Kinds.isTombstone(object.value());
     boolean changed =
-        ended ? upstreams.takeBackZone(zone, this::service) : upstreams.emptyZone(zone);
+        ended ? upstreams.endEvacuation(zone, this::service) : upstreams.evacuateZone(zone);
     if (changed) {
       logger.atInfo().log(
           "zone %s is %s revision=%s %s",
@@ -251,25 +251,25 @@
   }
 
   /** Returns the evacuated availability zones, whose upstreams receive no requests. */
-  public Set<String> emptiedZones() {
-    return upstreams.emptiedZones();
+  public Set<String> evacuatedZones() {
+    return upstreams.evacuatedZones();
   }
 
   /** Returns whether the upstream is in an evacuated availability zone. */
-  public boolean isEmptied(String upstream) {
-    return upstream(upstream).map(this::isEmptied).orElse(false);
+  public boolean isInEvacuatedZone(String upstream) {
+    return upstream(upstream).map(this::isInEvacuatedZone).orElse(false);
   }
 
   /** Returns whether the upstream is in an evacuated availability zone. */
-  boolean isEmptied(UpstreamRecord upstream) {
-    return upstreams.isEmptied(upstream);
+  boolean isInEvacuatedZone(UpstreamRecord upstream) {
+    return upstreams.isInEvacuatedZone(upstream);
   }
 
   /**
    * Records that all kinds of objects were read; versions that appear from now on need a roll-out
    * order.
    */
-  public void allRead() {
+  public void completeInitialRead() {
     upstreams.versions().completeInitialRead();
   }
 
--- a/org.oatlug/src/org/oatlug/internal/gateway/InstanceStatus.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/InstanceStatus.java
@@ -29,7 +29,7 @@
     Store store,
     List<String> emptiedZones,
     List<RolloutStatus> rollouts,
-    List<CrashLedger.Listed> heldRequests,
+    List<CrashLedger.RestrictedRequest> heldRequests,
     List<Upstream> upstreams) {
   /**
    * The epoch of the store and the effects of restores.
@@ -74,7 +74,7 @@
         components.settings().name(),
         ready,
         tables.storeStatus(),
-        List.copyOf(tables.emptiedZones()),
+        List.copyOf(tables.evacuatedZones()),
         components.versions().status(),
         components.crashLedger().listed(),
         upstreams);
@@ -91,7 +91,7 @@
         components.tables().isLeaving(name),
         row.isCold(now),
         components.limits().find(row.process()),
-        row.restLeft(now).toMillis(),
+        row.remainingBackOff(now).toMillis(),
         row.ejected(now),
         row.expectedLoad());
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/RetryAfterJitter.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RetryAfterJitter.java
@@ -25,7 +25,7 @@
   /** Minimum range of the jitter: about the time until a connection becomes free. */
   private static final Duration MINIMUM_JITTER = Duration.ofMillis(300);
 
-  /** Maximum paced delay; callers would rarely wait longer. */
+  /** Maximum spaced delay; callers would rarely wait longer. */
   private static final Duration MAXIMUM_PACED_DELAY = Duration.ofSeconds(5);
 
   private final RandomGenerator random;
@@ -52,7 +52,7 @@
    *
    * @param perSecond the rate that the upstreams accept, in requests per second
    */
-  Duration paced(String service, double perSecond, Instant now) {
+  Duration spacedDelay(String service, double perSecond, Instant now) {
     double instanceRate =
         Math.max(SharedRateLimit.PROBES_PER_SECOND, perSecond) / Math.max(1, instances.getAsInt());
     Duration interval = Duration.ofMillis((long) (1000 / instanceRate));
--- a/org.oatlug/src/org/oatlug/internal/gateway/RolloutDirector.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RolloutDirector.java
@@ -18,7 +18,7 @@
 import org.oatlug.gateway.ServiceRollout;
 import org.oatlug.gateway.ServiceRollout.State;
 import org.oatlug.internal.gateway.VersionDecisionInputs.Knowledge;
-import org.oatlug.internal.gather.SeenSession;
+import org.oatlug.internal.gather.SessionObservation;
 import org.oatlug.internal.membership.Membership;
 import org.oatlug.internal.metrics.Meters;
 import org.oatlug.internal.rollout.OrderAge;
@@ -65,7 +65,7 @@
   private final Meters meters;
   private final RolloutSchedule schedule;
   private final SessionVersionCache sessions;
-  private final Map<TrialKey, RolloutTrial> trials = BoundedMap.ofMost(MAXIMUM_TRIALS);
+  private final Map<TrialKey, RolloutTrial> trials = BoundedMap.withMaximumSize(MAXIMUM_TRIALS);
   private Runnable onRefuted = () -> {};
   private Instant nextTick = Instant.EPOCH;
 
@@ -125,17 +125,17 @@
       PriorAttempts priorAttempts) {
     VersionDecisionInputs current = basisOf(service, rollout, trial, head);
     // An earlier attempt of this request records its session, which does not make it a known one.
-    VersionDecisionInputs basis =
-        priorAttempts.basis().map(current::withKnowledgeOf).orElse(current);
+    VersionDecisionInputs inputs =
+        priorAttempts.inputs().map(current::withKnowledgeOf).orElse(current);
     String target = rollout.targetVersion();
     boolean failedOnTarget = priorAttempts.failedVersion().equals(Optional.of(target));
     return new VersionChoice(
             target,
-            basis,
-            hashFraction(basis.session().orElse(Hashes.hash64(head.id()))) < basis.share(),
+            inputs,
+            hashFraction(inputs.session().orElse(Hashes.hash64(head.id()))) < inputs.share(),
             failedOnTarget && trial.totalEvidence() > SUSPICIOUS_EVIDENCE,
             schedule.isSettling(ageOf(rollout, trial)),
-            schedule.sessionsMayMove(basis.part()))
+            schedule.sessionsMayMove(inputs.part()))
         .preference();
   }
 
@@ -207,8 +207,8 @@
   }
 
   @Override
-  public void recordEventInterval(Pace pace) {
-    updateTrial(pace.service(), trial -> trial.add(pace, clock.instant()));
+  public void recordEventInterval(EventInterval interval) {
+    updateTrial(interval.service(), trial -> trial.add(interval, clock.instant()));
   }
 
   private void updateTrial(String service, Consumer<RolloutTrial> update) {
@@ -277,11 +277,11 @@
         trial.localPairs(),
         trial.localAnswers(),
         trial.isRefuted(),
-        trial.age().told(clock.instant()));
+        trial.age().reportedMillis(clock.instant()));
   }
 
   /** Adds the evidence of all other instances. */
-  public void heard(VersionEvidence remote) {
+  public void applyReported(VersionEvidence remote) {
     runningTrial(remote.service())
         .filter(trial -> trial.matches(remote.version(), remote.orderedAt()))
         .ifPresent(trial -> addRemoteEvidence(trial, remote));
@@ -296,7 +296,7 @@
       trial.refute();
       logger.atWarning().log(
           "version %s of %s is refuted by another instance", trial.version(), remote.service());
-    } else if (RolloutGuard.refutesTogether(trial.totalEvidence())) {
+    } else if (RolloutGuard.sufficesForGlobalHalt(trial.totalEvidence())) {
       trial.refute();
       logger.atWarning().log(
           "version %s of %s is refuted by the evidence of all instances, evidence=%.1f answers=%d",
@@ -306,17 +306,17 @@
   }
 
   /** Returns the sessions to replicate that were seen here since the last call. */
-  public List<SeenSession> newlySeen() {
+  public List<SessionObservation> drainPendingSessions() {
     return sessions.drainPending(clock.instant());
   }
 
   /** Returns all unexpired sessions to replicate that were seen here. */
-  public List<SeenSession> seenHere() {
+  public List<SessionObservation> localSessions() {
     return sessions.matching(clock.instant(), SessionVersions.Observation::isLocal);
   }
 
   /** Returns all unexpired sessions to replicate, including those of other instances. */
-  public List<SeenSession> allSeen() {
+  public List<SessionObservation> knownSessions() {
     return sessions.matching(clock.instant(), observation -> true);
   }
 
@@ -325,7 +325,7 @@
   }
 
   /** Records a session that another instance has seen. */
-  public void heardSession(SeenSession session) {
+  public void applyReportedSession(SessionObservation session) {
     sessions.recordRemote(session, clock.instant());
   }
 
@@ -365,7 +365,7 @@
   }
 
   private void advance(String service, ServiceRollout rollout, RolloutTrial trial) {
-    if (trial.isRefuted() || RolloutGuard.refutesTogether(trial.totalEvidence())) {
+    if (trial.isRefuted() || RolloutGuard.sufficesForGlobalHalt(trial.totalEvidence())) {
       trial.refute();
       write(service, rollout, trial, State.ROLLED_BACK);
       return;
@@ -407,7 +407,7 @@
     TrialKey key = new TrialKey(service, rollout.targetVersion());
     RolloutTrial known = trials.get(key);
     if (known == null || !known.adoptOrder(rollout.targetVersion(), rollout.orderedAt())) {
-      OrderAge age = OrderAge.learned(clock.instant(), rollout.state().isEmpty());
+      OrderAge age = OrderAge.firstRead(clock.instant(), rollout.state().isEmpty());
       known = RolloutTrial.of(rollout.targetVersion(), rollout.orderedAt(), age);
       trials.put(key, known);
     }
--- a/org.oatlug/src/org/oatlug/internal/gateway/RolloutTrial.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RolloutTrial.java
@@ -125,16 +125,19 @@
       String group = groupOf(answer.route(), answer.model());
       add(lateness, ofCandidate, headDelays.isSlow(group, answer.took().toMillis(), ofCandidate));
     }
-    refuted |= RolloutGuard.refutesAlone(localEvidence());
+    refuted |= RolloutGuard.sufficesForLocalHalt(localEvidence());
   }
 
   /** Adds the event interval of a stream seen by this instance. */
-  void add(VersionRule.Pace pace, Instant now) {
-    boolean ofCandidate = pace.version().equals(version);
-    String group = pace.model().isEmpty() ? pace.route().name() : pace.model();
+  void add(VersionRule.EventInterval interval, Instant now) {
+    boolean ofCandidate = interval.version().equals(version);
+    String group = interval.model().isEmpty() ? interval.route().name() : interval.model();
     resetExpiredWindow(now);
-    add(slowness, ofCandidate, eventIntervals.isSlow(group, pace.millisPerEvent(), ofCandidate));
-    refuted |= RolloutGuard.refutesAlone(localEvidence());
+    add(
+        slowness,
+        ofCandidate,
+        eventIntervals.isSlow(group, interval.millisPerEvent(), ofCandidate));
+    refuted |= RolloutGuard.sufficesForLocalHalt(localEvidence());
   }
 
   private static void add(SequentialTest test, boolean ofCandidate, boolean bad) {
@@ -148,8 +151,8 @@
   private void resetExpiredWindow(Instant now) {
     if (now.isAfter(windowStart.plus(COMPARISON_WINDOW))) {
       windowStart = now;
-      lateness.forgetUnpaired();
-      slowness.forgetUnpaired();
+      lateness.discardUnpaired();
+      slowness.discardUnpaired();
     }
   }
 
@@ -159,7 +162,7 @@
 
   /** Merges all or part of the evidence of the other instances; counts never decrease. */
   void addRemoteEvidence(VersionEvidence remote, Instant now) {
-    age.heard(remote.ageMillis(), now);
+    age.applyReported(remote.ageMillis(), now);
     remotePairs = remotePairs.join(remote.pairs());
     remoteAnswers = Math.max(remoteAnswers, remote.answers());
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/RouteExplanation.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RouteExplanation.java
@@ -15,7 +15,7 @@
 import org.oatlug.gateway.Route;
 import org.oatlug.gateway.RouteKind;
 import org.oatlug.gateway.UpstreamRecord;
-import org.oatlug.internal.engine.HeadForecast;
+import org.oatlug.internal.engine.FirstTokenForecast;
 
 /**
  * Explains how an instance would route a request now, and why. Immutable.
@@ -166,13 +166,13 @@
     return MAXIMUM_CONFIDENCE;
   }
 
-  private static HeadForecast forecast(
+  private static FirstTokenForecast forecast(
       GatewayComponents components, UpstreamSelection.Criteria criteria, String model) {
     return components
         .selection()
         .choose(criteria.of(model), components.clock().instant())
         .map(UpstreamSelection.Chosen::forecast)
-        .orElse(HeadForecast.NEVER);
+        .orElse(FirstTokenForecast.NEVER);
   }
 
   private static List<Candidate> candidates(
--- a/org.oatlug/src/org/oatlug/internal/gateway/SessionVersionCache.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/SessionVersionCache.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.function.LongPredicate;
 import java.util.function.Predicate;
-import org.oatlug.internal.gather.SeenSession;
+import org.oatlug.internal.gather.SessionObservation;
 import org.oatlug.internal.util.BoundedMap;
 
 /**
@@ -31,7 +31,8 @@
   private final Duration pause;
   private final LongPredicate movesImmediately;
   private final Map<String, SessionVersions> byService = new HashMap<>();
-  private final Map<SessionKey, Instant> replicatedAt = BoundedMap.ofMost(MAXIMUM_REPLICATED);
+  private final Map<SessionKey, Instant> replicatedAt =
+      BoundedMap.withMaximumSize(MAXIMUM_REPLICATED);
   private final Map<SessionKey, Instant> pending = new LinkedHashMap<>();
 
   private record SessionKey(String service, long session, String version) {}
@@ -73,16 +74,17 @@
   }
 
   /** Records a session that another instance has seen. */
-  void recordRemote(SeenSession session, Instant now) {
+  void recordRemote(SessionObservation session, Instant now) {
     of(session.service()).recordRemote(session.session(), session.version(), session.seenAt(now));
   }
 
   /** Returns the sessions that are pending replication and clears them. */
-  List<SeenSession> drainPending(Instant now) {
-    List<SeenSession> drained = new ArrayList<>();
+  List<SessionObservation> drainPending(Instant now) {
+    List<SessionObservation> drained = new ArrayList<>();
     pending.forEach(
         (key, at) ->
-            drained.add(SeenSession.at(key.service(), key.session(), key.version(), at, now)));
+            drained.add(
+                SessionObservation.at(key.service(), key.session(), key.version(), at, now)));
     pending.clear();
     return drained;
   }
@@ -92,8 +94,8 @@
    *
    * @param filter the filter
    */
-  List<SeenSession> matching(Instant now, Predicate<SessionVersions.Observation> filter) {
-    List<SeenSession> matches = new ArrayList<>();
+  List<SessionObservation> matching(Instant now, Predicate<SessionVersions.Observation> filter) {
+    List<SessionObservation> matches = new ArrayList<>();
     byService.forEach(
         (service, sessions) ->
             sessions.forEachUnexpired(
@@ -101,7 +103,7 @@
                 (session, observation) -> {
                   if (movesImmediately.test(session) && filter.test(observation)) {
                     matches.add(
-                        SeenSession.at(
+                        SessionObservation.at(
                             service, session, observation.version(), observation.at(), now));
                   }
                 }));
--- a/org.oatlug/src/org/oatlug/internal/gateway/StageRule.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/StageRule.java
@@ -8,7 +8,7 @@
 import java.util.function.Function;
 import org.oatlug.gateway.Generation;
 import org.oatlug.gateway.Route;
-import org.oatlug.internal.engine.HeadForecast;
+import org.oatlug.internal.engine.FirstTokenForecast;
 
 /**
  * Decides which model of a cascade answers first, and which one replaces an answer of low
@@ -40,7 +40,7 @@
       int stage,
       int confidence,
       Duration elapsed,
-      Function<String, HeadForecast> expected) {}
+      Function<String, FirstTokenForecast> expected) {}
 
   /** Returns the stage that is to replace the answer, empty to accept the answer. */
   OptionalInt replacementStage(LowConfidenceAnswer answer);
--- a/org.oatlug/src/org/oatlug/internal/gateway/UpstreamEligibility.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/UpstreamEligibility.java
@@ -50,7 +50,7 @@
   enum Exclusion {
     /** It announced in its registration or a response that it is leaving, or is deregistered. */
     LEAVES("the upstream is leaving", "upstream-leaves"),
-    /** Its availability zone is being drained. */
+    /** Its availability zone is evacuated. */
     ZONE_EMPTIED("the availability zone of the upstream is being drained", "zone-emptied"),
     /** It refused a request and asked instances to back off. */
     RESTS("the upstream asked to back off", "upstream-rests"),
@@ -109,10 +109,10 @@
     if (upstream.leaving() || row.leaving()) {
       return LEAVES;
     }
-    if (tables.isEmptied(upstream)) {
+    if (tables.isInEvacuatedZone(upstream)) {
       return ZONE_EMPTIED;
     }
-    if (row.isResting(now)) {
+    if (row.isBackingOff(now)) {
       return RESTS;
     }
     if (row.expectedLoad() >= connectionLimit) {
@@ -162,7 +162,7 @@
     }
     return tables.upstreamsOf(service).stream()
         .filter(name -> exclusionOf(name, now).equals(RESTS))
-        .map(name -> tables.row(name).restLeft(now))
+        .map(name -> tables.row(name).remainingBackOff(now))
         .min(Comparator.naturalOrder());
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/UpstreamRegistry.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/UpstreamRegistry.java
@@ -23,7 +23,7 @@
 import org.oatlug.internal.table.UpstreamTable;
 
 /**
- * Holds the registered upstreams, the drained availability zones and the observed state of each
+ * Holds the registered upstreams, the evacuated availability zones and the observed state of each
  * upstream.
  *
  * <p>Invariants: an upstream process is identified by its name and start time; the state observed
@@ -38,7 +38,7 @@
   private final UpstreamTable loads = UpstreamTable.create();
   private final Map<String, UpstreamRecord> records = new TreeMap<>();
   private final Map<String, List<String>> byService = new HashMap<>();
-  private final Set<String> emptiedZones = new TreeSet<>();
+  private final Set<String> evacuatedZones = new TreeSet<>();
   private final VersionRegistry versions = VersionRegistry.create();
 
   private UpstreamRegistry(InstantSource clock) {
@@ -84,21 +84,21 @@
     return previous;
   }
 
-  /** Marks a zone as drained and returns whether it was not drained before. */
-  boolean emptyZone(String zone) {
-    return emptiedZones.add(zone);
+  /** Marks a zone as evacuated and returns whether it was not evacuated before. */
+  boolean evacuateZone(String zone) {
+    return evacuatedZones.add(zone);
   }
 
   /**
-   * Revokes the drain of a zone. Its upstreams may have become cold shortly before, and their
+   * Ends the evacuation of a zone. Its upstreams may have become cold shortly before, and their
    * registrations may arrive later than this, so each is treated as cold for as long as after a
    * start.
    *
    * @param services the services by name
-   * @return whether the zone was drained
+   * @return whether the zone was evacuated
    */
-  boolean takeBackZone(String zone, Function<String, Optional<ServiceDefinition>> services) {
-    if (!emptiedZones.remove(zone)) {
+  boolean endEvacuation(String zone, Function<String, Optional<ServiceDefinition>> services) {
+    if (!evacuatedZones.remove(zone)) {
       return false;
     }
     Instant now = clock.instant();
@@ -114,14 +114,14 @@
     return true;
   }
 
-  /** Returns an unmodifiable view of the drained zones. */
-  Set<String> emptiedZones() {
-    return Collections.unmodifiableSet(emptiedZones);
+  /** Returns an unmodifiable view of the evacuated zones. */
+  Set<String> evacuatedZones() {
+    return Collections.unmodifiableSet(evacuatedZones);
   }
 
-  /** Returns whether an upstream is in a drained zone. */
-  boolean isEmptied(UpstreamRecord record) {
-    return !emptiedZones.isEmpty() && emptiedZones.contains(record.zone());
+  /** Returns whether an upstream is in an evacuated zone. */
+  boolean isInEvacuatedZone(UpstreamRecord record) {
+    return !evacuatedZones.isEmpty() && evacuatedZones.contains(record.zone());
   }
 
   /** Returns the versions that have upstreams. */
--- a/org.oatlug/src/org/oatlug/internal/gateway/UpstreamSelection.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/UpstreamSelection.java
@@ -14,11 +14,11 @@
 import org.oatlug.gateway.Generation;
 import org.oatlug.gateway.PromptPart;
 import org.oatlug.gateway.UpstreamRecord;
-import org.oatlug.internal.engine.EngineSpeeds;
-import org.oatlug.internal.engine.HeadForecast;
-import org.oatlug.internal.engine.OpenReading;
+import org.oatlug.internal.engine.FirstTokenForecast;
+import org.oatlug.internal.engine.PrefillBacklog;
+import org.oatlug.internal.engine.PrefillEstimates;
 import org.oatlug.internal.routing.PlacementCost;
-import org.oatlug.internal.routing.ZoneReach;
+import org.oatlug.internal.routing.ZoneReachability;
 import org.oatlug.internal.table.UpstreamRow;
 import org.oatlug.internal.util.Hashes;
 
@@ -28,7 +28,7 @@
  * <p>Collects the state of each upstream and computes its cost with {@link PlacementCost}. A shared
  * prompt prefix has a home upstream, which is the same on all instances and is assumed to have the
  * prefix cached; so is any upstream to which this instance has sent the prefix. Invariant: an
- * upstream is never selected if it is leaving, is in a drained zone, has exhausted a rate limit,
+ * upstream is never selected if it is leaving, is in an evacuated zone, has exhausted a rate limit,
  * has already been tried or has no free connection; one that is ejected after failures is selected
  * only if there is no alternative. Owned by one event loop, not thread-safe.
  */
@@ -38,9 +38,9 @@
 
   private final String zone;
   private final GatewayTables tables;
-  private final EngineSpeeds speeds;
-  private final OpenReading reading;
-  private final ZoneReach zones;
+  private final PrefillEstimates prefillEstimates;
+  private final PrefillBacklog prefillBacklog;
+  private final ZoneReachability zones;
   private final UpstreamEligibility eligibility;
   private final Predicate<String> hasSuspect;
   private final RandomGenerator random;
@@ -48,16 +48,16 @@
   private UpstreamSelection(
       String zone,
       GatewayTables tables,
-      EngineSpeeds speeds,
-      OpenReading reading,
-      ZoneReach zones,
+      PrefillEstimates prefillEstimates,
+      PrefillBacklog prefillBacklog,
+      ZoneReachability zones,
       UpstreamRateLimits rates,
       Predicate<String> hasSuspect,
       RandomGenerator random) {
     this.zone = zone;
     this.tables = tables;
-    this.speeds = speeds;
-    this.reading = reading;
+    this.prefillEstimates = prefillEstimates;
+    this.prefillBacklog = prefillBacklog;
     this.zones = zones;
     this.eligibility = UpstreamEligibility.of(tables, rates);
     this.hasSuspect = hasSuspect;
@@ -72,13 +72,14 @@
   static UpstreamSelection create(
       String zone,
       GatewayTables tables,
-      EngineSpeeds speeds,
-      OpenReading reading,
-      ZoneReach zones,
+      PrefillEstimates prefillEstimates,
+      PrefillBacklog prefillBacklog,
+      ZoneReachability zones,
       UpstreamRateLimits rates,
       Predicate<String> hasSuspect,
       RandomGenerator random) {
-    return new UpstreamSelection(zone, tables, speeds, reading, zones, rates, hasSuspect, random);
+    return new UpstreamSelection(
+        zone, tables, prefillEstimates, prefillBacklog, zones, rates, hasSuspect, random);
   }
 
   /**
@@ -127,7 +128,7 @@
       String name,
       UpstreamRecord upstream,
       UpstreamRow row,
-      HeadForecast forecast,
+      FirstTokenForecast forecast,
       double costMillis) {}
 
   /**
@@ -155,9 +156,11 @@
         criteria.generation().map(generation -> Prompt.of(criteria.model().orElse(""), generation));
     List<Chosen> costs = new ArrayList<>();
     for (Candidate candidate : candidates) {
-      HeadForecast forecast =
-          prompt.map(value -> forecast(candidate, value, home, now)).orElse(HeadForecast.NONE);
-      double cost = PlacementCost.of(place(candidate, forecast, now), criteria.bodyBytes());
+      FirstTokenForecast forecast =
+          prompt
+              .map(value -> forecast(candidate, value, home, now))
+              .orElse(FirstTokenForecast.NONE);
+      double cost = PlacementCost.of(upstreamState(candidate, forecast, now), criteria.bodyBytes());
       double jitter = random.nextDouble() * JITTER_MILLIS;
       costs.add(
           new Chosen(
@@ -171,19 +174,22 @@
     return eligibility;
   }
 
-  private HeadForecast forecast(Candidate candidate, Prompt prompt, String home, Instant now) {
+  private FirstTokenForecast forecast(
+      Candidate candidate, Prompt prompt, String home, Instant now) {
     Uncached uncached = prompt.uncachedAt(candidate, home);
-    double slowness = speeds.slownessOf(candidate.row().process(), now);
-    double queueMillis = reading.waitingMillis(candidate.row().process(), now);
-    double prefillMillis = speeds.lineOf(prompt.model()).millisFor(uncached.tokens());
-    return new HeadForecast(
+    double slowness = prefillEstimates.slownessOf(candidate.row().process(), now);
+    double queueMillis = prefillBacklog.waitingMillis(candidate.row().process(), now);
+    double prefillMillis =
+        prefillEstimates.prefillModelOf(prompt.model()).millisFor(uncached.tokens());
+    return new FirstTokenForecast(
         slowness * queueMillis, slowness * prefillMillis, uncached.tokens(), uncached.certain());
   }
 
-  private PlacementCost.Place place(Candidate candidate, HeadForecast forecast, Instant now) {
+  private PlacementCost.UpstreamState upstreamState(
+      Candidate candidate, FirstTokenForecast forecast, Instant now) {
     boolean otherZone = !candidate.upstream().zone().equals(zone);
-    boolean cutOff = otherZone && zones.isCutOff(candidate.upstream().zone(), now);
-    return new PlacementCost.Place(
+    boolean cutOff = otherZone && zones.isUnreachable(candidate.upstream().zone(), now);
+    return new PlacementCost.UpstreamState(
         forecast,
         tables.loads().estimatedLoad(candidate.row()),
         Math.max(1, candidate.upstream().slots()),
@@ -232,7 +238,7 @@
     UpstreamRecord upstream = tables.upstream(name).orElseThrow();
     return criteria.matchesVersion(upstream)
         && !tables.isLeaving(name)
-        && !tables.isEmptied(upstream);
+        && !tables.isInEvacuatedZone(upstream);
   }
 
   private List<Candidate> eligible(
@@ -262,8 +268,9 @@
     }
     int sharedTokens = parts.stream().limit(parts.size() - 1L).mapToInt(PromptPart::tokens).sum();
     double rereadMillis =
-        speeds.lineOf(criteria.model().orElse("")).millisPerToken() * sharedTokens;
-    boolean anyZone = rereadMillis > PlacementCost.otherZoneOfEngine(criteria.bodyBytes());
+        prefillEstimates.prefillModelOf(criteria.model().orElse("")).millisPerToken()
+            * sharedTokens;
+    boolean anyZone = rereadMillis > PlacementCost.crossZoneMillis(criteria.bodyBytes());
     long shared = parts.get(parts.size() - 2).hash();
     String home = "";
     long highestScore = Long.MIN_VALUE;
--- a/org.oatlug/src/org/oatlug/internal/gateway/VersionChoice.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/VersionChoice.java
@@ -17,7 +17,7 @@
  * before the order have been replicated.
  *
  * @param target the version that is rolled out
- * @param basis the knowledge of the session and of the roll-out
+ * @param inputs the knowledge of the session and of the roll-out
  * @param isInShare whether the share of the new version includes the session
  * @param suspicious whether the request failed on the new version and there is other evidence
  *     against it
@@ -26,7 +26,7 @@
  */
 record VersionChoice(
     String target,
-    VersionDecisionInputs basis,
+    VersionDecisionInputs inputs,
     boolean isInShare,
     boolean suspicious,
     boolean settling,
@@ -34,21 +34,21 @@
 
   /** Returns the version preference for the request. */
   VersionPreference preference() {
-    return basis.isUnknown() ? preferenceForNewSession() : preferenceForKnownSession();
+    return inputs.isUnknown() ? preferenceForNewSession() : preferenceForKnownSession();
   }
 
   private VersionPreference preferenceForNewSession() {
-    boolean mustWait = settling && basis.session().isPresent();
+    boolean mustWait = settling && inputs.session().isPresent();
     return preferenceOf(isInShare && !suspicious && !mustWait, Firmness.PREFERRED);
   }
 
   private VersionPreference preferenceForKnownSession() {
-    boolean isOnTarget = basis.before().equals(target);
+    boolean isOnTarget = inputs.before().equals(target);
     boolean moves = !isOnTarget && isInShare && mayMove && !suspicious;
     return preferenceOf(isOnTarget || moves, moves ? Firmness.PREFERRED : Firmness.KEPT);
   }
 
   private VersionPreference preferenceOf(boolean wanted, Firmness firmness) {
-    return new VersionPreference(target, wanted, firmness, Optional.of(basis));
+    return new VersionPreference(target, wanted, firmness, Optional.of(inputs));
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/VersionRegistry.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/VersionRegistry.java
@@ -27,7 +27,7 @@
   private final Map<Version, Integer> upstreams = new HashMap<>();
   private final Set<Version> unordered = new HashSet<>();
   private final Set<Version> accepted =
-      Collections.newSetFromMap(BoundedMap.ofMost(MAXIMUM_ACCEPTED));
+      Collections.newSetFromMap(BoundedMap.withMaximumSize(MAXIMUM_ACCEPTED));
   private boolean initialReadComplete;
 
   private record Version(String service, String name) {}
--- a/org.oatlug/src/org/oatlug/internal/gateway/VersionRule.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/VersionRule.java
@@ -45,9 +45,9 @@
    * The earlier attempts of a request.
    *
    * @param failedVersion the version on which the previous attempt failed, empty for none
-   * @param basis the inputs of the request's first version choice, empty for none
+   * @param inputs the inputs of the request's first version choice, empty for none
    */
-  record PriorAttempts(Optional<String> failedVersion, Optional<VersionDecisionInputs> basis) {
+  record PriorAttempts(Optional<String> failedVersion, Optional<VersionDecisionInputs> inputs) {
     /** No earlier attempt. */
     public static final PriorAttempts NOTHING =
         new PriorAttempts(Optional.empty(), Optional.empty());
@@ -81,7 +81,7 @@
   void answered(Answer answer);
 
   /**
-   * The pace at which a version generates the events of a stream.
+   * The mean interval at which a version generates the events of a stream.
    *
    * @param service the service
    * @param version the version that answers
@@ -89,10 +89,11 @@
    * @param model the model, empty for none
    * @param millisPerEvent the mean time between events, in milliseconds
    */
-  record Pace(String service, String version, Route route, String model, double millisPerEvent) {}
+  record EventInterval(
+      String service, String version, Route route, String model, double millisPerEvent) {}
 
-  /** Records the pace of a stream. */
-  void recordEventInterval(Pace pace);
+  /** Records the event interval of a stream. */
+  void recordEventInterval(EventInterval interval);
 
   /** Returns the progress of the running roll-outs as this instance sees it. */
   List<RolloutStatus> status();
--- a/org.oatlug/src/org/oatlug/internal/gather/CrashReplication.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/CrashReplication.java
@@ -5,7 +5,7 @@
 
 import java.util.Map;
 import org.oatlug.internal.crash.CrashLedger;
-import org.oatlug.internal.crash.CrashNews;
+import org.oatlug.internal.crash.CrashUpdate;
 import org.oatlug.internal.peer.Member;
 import org.oatlug.internal.util.BoundedMap;
 
@@ -22,8 +22,9 @@
   private static final int MAXIMUM_PROCESSES = 1024;
 
   private final CrashLedger ledger;
-  private final Map<String, Long> acknowledgedRevisions = BoundedMap.ofMost(MAXIMUM_PROCESSES);
-  private final Map<String, Long> readRevisions = BoundedMap.ofMost(MAXIMUM_PROCESSES);
+  private final Map<String, Long> acknowledgedRevisions =
+      BoundedMap.withMaximumSize(MAXIMUM_PROCESSES);
+  private final Map<String, Long> readRevisions = BoundedMap.withMaximumSize(MAXIMUM_PROCESSES);
 
   private CrashReplication(CrashLedger ledger) {
     this.ledger = ledger;
@@ -40,12 +41,12 @@
   }
 
   /** Returns the changes that the peer has not acknowledged. */
-  CrashNews changesFor(Member peer) {
+  CrashUpdate changesFor(Member peer) {
     return ledger.after(acknowledgedRevisions.getOrDefault(peer.process(), 0L));
   }
 
   /** Records that the peer acknowledged the changes. */
-  void acknowledged(Member peer, CrashNews sent) {
+  void acknowledged(Member peer, CrashUpdate sent) {
     acknowledgedRevisions.merge(peer.process(), sent.upTo(), Math::max);
   }
 
@@ -55,13 +56,13 @@
   }
 
   /** Merges the changes of a response, which follow the revision read before. */
-  void mergeResponse(Member peer, CrashNews changes) {
+  void mergeResponse(Member peer, CrashUpdate changes) {
     ledger.merge(changes.records(), peer.name());
     readRevisions.put(peer.process(), changes.upTo());
   }
 
   /** Merges changes that the peer pushed, which may omit earlier ones. */
-  void mergePushed(Member peer, CrashNews changes) {
+  void mergePushed(Member peer, CrashUpdate changes) {
     ledger.merge(changes.records(), peer.name());
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gather/Participant.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/ExchangeParticipant.java
@@ -8,23 +8,23 @@
 /**
  * Supplies the report of this instance and receives those of the others. Used from one event loop.
  */
-public interface Participant {
+public interface ExchangeParticipant {
 
   /** Returns the report of this instance. */
-  Account own();
+  StateReport own();
 
   /** Returns the sessions to replicate that this instance observed since the last call. */
-  List<SeenSession> newlySeen();
+  List<SessionObservation> drainPendingSessions();
 
   /** Returns all unexpired sessions that this instance observed. */
-  List<SeenSession> seenHere();
+  List<SessionObservation> localSessions();
 
   /** Returns all unexpired sessions, including those replicated from other instances. */
-  List<SeenSession> allSeen();
+  List<SessionObservation> knownSessions();
 
   /** Applies the aggregated report of all other instances. */
-  void heard(Account others);
+  void applyReported(StateReport others);
 
   /** Applies sessions that other instances observed. */
-  void heardSessions(List<SeenSession> sessions);
+  void applyReportedSessions(List<SessionObservation> sessions);
 }
--- a/org.oatlug/src/org/oatlug/internal/gather/PendingSessions.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/PendingSessions.java
@@ -30,9 +30,9 @@
   private long last;
 
   /** A session, its sequence number, and the instant to which its age refers. */
-  private record Pending(long number, SeenSession session, Instant addedAt) {
-    SeenSession asOf(Instant now) {
-      return SeenSession.at(
+  private record Pending(long number, SessionObservation session, Instant addedAt) {
+    SessionObservation asOf(Instant now) {
+      return SessionObservation.at(
           session.service(), session.session(), session.version(), session.seenAt(addedAt), now);
     }
   }
@@ -43,7 +43,7 @@
    * @param sessions the sessions, with their ages at the time of sending
    * @param upTo the sequence number of the last session
    */
-  record Batch(List<SeenSession> sessions, long upTo) {}
+  record Batch(List<SessionObservation> sessions, long upTo) {}
 
   private PendingSessions() {}
 
@@ -53,7 +53,7 @@
   }
 
   /** Adds sessions whose ages refer to {@code now}. */
-  void add(List<SeenSession> sessions, Instant now) {
+  void add(List<SessionObservation> sessions, Instant now) {
     sessions.forEach(session -> queue.addLast(new Pending(++last, session, now)));
     while (queue.size() > MAXIMUM_PENDING) {
       queue.removeFirst();
@@ -62,7 +62,7 @@
 
   /** Returns the sessions of the next message, which stay queued. */
   Batch nextBatch(Instant now) {
-    List<SeenSession> sessions = new ArrayList<>();
+    List<SessionObservation> sessions = new ArrayList<>();
     long upTo = 0;
     for (Pending next : queue) {
       if (sessions.size() >= MAXIMUM_BATCH) {
