--- a/org.oatlug/src/org/oatlug/internal/gather/ReportAggregator.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/ReportAggregator.java
@@ -8,7 +8,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.oatlug.internal.engine.OpenReading;
+import org.oatlug.internal.engine.PrefillBacklog;
 import org.oatlug.internal.util.BoundedMap;
 
 /**
@@ -19,8 +19,8 @@
  * needs the sum of all others. Sent from each to each, the number of messages is quadratic in the
  * number of instances; through collectors each instance sends and receives one. Invariants: an
  * instance and a zone count once, with their latest report; if no further report arrives, its
- * pending prompts count for {@link OpenReading#VALID} and its evidence for {@link #EVIDENCE_VALID}.
- * Owned by one event loop, not thread-safe.
+ * pending prompts count for {@link PrefillBacklog#VALIDITY} and its evidence for {@link
+ * #EVIDENCE_VALID}. Owned by one event loop, not thread-safe.
  */
 final class ReportAggregator {
   /** Bounds the instances of a zone at the design size and those replaced within a day. */
@@ -30,21 +30,23 @@
   private static final int MAXIMUM_ZONES = 64;
 
   /** The interval of unchanged reports, short enough that pending prompts do not expire. */
-  static final Duration REFRESH_INTERVAL = OpenReading.VALID.dividedBy(4);
+  static final Duration REFRESH_INTERVAL = PrefillBacklog.VALIDITY.dividedBy(4);
 
   /** The time for which evidence of a stopped instance or a partitioned zone is retained. */
   static final Duration EVIDENCE_VALID = Duration.ofSeconds(60);
 
-  private final Map<String, Received> instances = BoundedMap.ofMost(MAXIMUM_INSTANCES);
-  private final Map<String, Received> zones = BoundedMap.ofMost(MAXIMUM_ZONES);
+  private final Map<String, Received> instances = BoundedMap.withMaximumSize(MAXIMUM_INSTANCES);
+  private final Map<String, Received> zones = BoundedMap.withMaximumSize(MAXIMUM_ZONES);
 
-  private record Received(Account report, Instant receivedAt) {
-    Account asOf(Instant now) {
+  private record Received(StateReport report, Instant receivedAt) {
+    StateReport asOf(Instant now) {
       if (now.isAfter(receivedAt.plus(EVIDENCE_VALID))) {
-        return Account.EMPTY;
+        return StateReport.EMPTY;
       }
-      Account aged = report.aged(Duration.between(receivedAt, now));
-      return now.isAfter(receivedAt.plus(OpenReading.VALID)) ? aged.withoutPendingPrompts() : aged;
+      StateReport aged = report.aged(Duration.between(receivedAt, now));
+      return now.isAfter(receivedAt.plus(PrefillBacklog.VALIDITY))
+          ? aged.withoutPendingPrompts()
+          : aged;
     }
   }
 
@@ -56,12 +58,12 @@
   }
 
   /** Stores the report of an instance of the own zone; the process name includes its epoch. */
-  void putInstance(String process, Account report, Instant now) {
+  void putInstance(String process, StateReport report, Instant now) {
     instances.merge(process, new Received(report, now), ReportAggregator::latest);
   }
 
   /** Stores the aggregated report of another zone. */
-  void putZone(String zone, Account report, Instant now) {
+  void putZone(String zone, StateReport report, Instant now) {
     zones.merge(zone, new Received(report, now), ReportAggregator::latest);
   }
 
@@ -70,19 +72,20 @@
   }
 
   /** Returns the aggregate of the own zone. */
-  Account sumOfZone(Instant now) {
-    return Account.sumOf(instances.values().stream().map(received -> received.asOf(now)).toList());
+  StateReport sumOfZone(Instant now) {
+    return StateReport.sumOf(
+        instances.values().stream().map(received -> received.asOf(now)).toList());
   }
 
   /** Returns the aggregate of all zones without one process. */
-  Account sumExcept(String process, Instant now) {
-    List<Account> reports = new ArrayList<>();
+  StateReport sumExcept(String process, Instant now) {
+    List<StateReport> reports = new ArrayList<>();
     for (Map.Entry<String, Received> entry : instances.entrySet()) {
       if (!entry.getKey().equals(process)) {
         reports.add(entry.getValue().asOf(now));
       }
     }
     zones.values().forEach(received -> reports.add(received.asOf(now)));
-    return Account.sumOf(reports);
+    return StateReport.sumOf(reports);
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gather/SessionLog.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/SessionLog.java
@@ -41,8 +41,8 @@
   private record Key(String service, long session) {}
 
   private record Entry(Key key, String version, Instant seenAt, boolean ofOwnZone) {
-    SeenSession asOf(Instant now) {
-      return SeenSession.at(key.service(), key.session(), version, seenAt, now);
+    SessionObservation asOf(Instant now) {
+      return SessionObservation.at(key.service(), key.session(), version, seenAt, now);
     }
   }
 
@@ -52,7 +52,7 @@
    * @param sessions the sessions
    * @param upTo the sequence number after which the next read starts
    */
-  record Batch(List<SeenSession> sessions, long upTo) {}
+  record Batch(List<SessionObservation> sessions, long upTo) {}
 
   private SessionLog() {}
 
@@ -62,8 +62,8 @@
   }
 
   /** Adds sessions that an instance of the own zone, or another zone, reported. */
-  void add(List<SeenSession> sessions, boolean ofOwnZone, Instant now) {
-    for (SeenSession session : sessions) {
+  void add(List<SessionObservation> sessions, boolean ofOwnZone, Instant now) {
+    for (SessionObservation session : sessions) {
       if (session.isValid()) {
         add(session, ofOwnZone, now);
       }
@@ -71,7 +71,7 @@
     evict(now);
   }
 
-  private void add(SeenSession session, boolean ofOwnZone, Instant now) {
+  private void add(SessionObservation session, boolean ofOwnZone, Instant now) {
     Key key = new Key(session.service(), session.session());
     Entry entry = new Entry(key, session.version(), session.seenAt(now), ofOwnZone);
     Optional<Long> previous = Optional.ofNullable(numbers.get(key));
@@ -114,7 +114,7 @@
   }
 
   private Batch read(long number, boolean ofOwnZoneOnly, Instant now) {
-    List<SeenSession> sessions = new ArrayList<>();
+    List<SessionObservation> sessions = new ArrayList<>();
     long upTo = Math.min(number, last);
     for (Map.Entry<Long, Entry> entry : entries.tailMap(number, false).entrySet()) {
       if (sessions.size() >= MAXIMUM_READ) {
--- a/org.oatlug/src/org/oatlug/internal/gather/SeenSession.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/SessionObservation.java
@@ -16,15 +16,15 @@
  * @param version the version of the service that answered the session
  * @param ageMillis the time since that answer, in milliseconds
  */
-public record SeenSession(String service, long session, String version, long ageMillis) {
+public record SessionObservation(String service, long session, String version, long ageMillis) {
   /** One day in milliseconds, which exceeds the pause of any session. */
   private static final long MAXIMUM_AGE_MILLIS = 86_400_000L;
 
   /** Returns the record of a session that was observed at {@code seenAt}. */
-  public static SeenSession at(
+  public static SessionObservation at(
       String service, long session, String version, Instant seenAt, Instant now) {
     long age = Math.max(0, Duration.between(seenAt, now).toMillis());
-    return new SeenSession(service, session, version, age);
+    return new SessionObservation(service, session, version, age);
   }
 
   /** Returns the instant of the observation by the clock of the receiver. */
--- a/org.oatlug/src/org/oatlug/internal/gather/GatherSystem.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/StateExchange.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import org.oatlug.internal.crash.CrashLedger;
-import org.oatlug.internal.crash.CrashNews;
+import org.oatlug.internal.crash.CrashUpdate;
 import org.oatlug.internal.membership.Membership;
 import org.oatlug.internal.metrics.Meters;
 import org.oatlug.internal.peer.Member;
@@ -30,7 +30,7 @@
  * sent while the report is unchanged and the last one has not expired; evidence against a version
  * is sent at the next tick, and its refutation at once. Owned by one event loop, not thread-safe.
  */
-public final class GatherSystem implements TickSystem {
+public final class StateExchange implements TickSystem {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   /** The minimum interval of requests: a fraction of the time for which a prompt is pending. */
@@ -55,7 +55,7 @@
   private final PeerNetwork network;
   private final InstantSource clock;
   private final Meters meters;
-  private final Participant participant;
+  private final ExchangeParticipant participant;
   private final ZoneCollectors collectors;
   private final ReportAggregator aggregator = ReportAggregator.create();
   private final SessionLog sessions = SessionLog.create();
@@ -63,7 +63,7 @@
   private final ZoneReplication zoneReplication = ZoneReplication.create(sessions);
   private final CrashLedger ledger;
   private final CrashReplication crashes;
-  private Account lastReport = Account.EMPTY;
+  private StateReport lastReport = StateReport.EMPTY;
   private Instant reportedAt = Instant.EPOCH;
   private Optional<Instant> startedAt = Optional.empty();
   private boolean informed;
@@ -73,12 +73,12 @@
   private long pushedRefuted;
   private long pushedCrashRevision;
 
-  private GatherSystem(
+  private StateExchange(
       Membership membership,
       PeerNetwork network,
       InstantSource clock,
       Meters meters,
-      Participant participant,
+      ExchangeParticipant participant,
       CrashLedger ledger) {
     this.membership = membership;
     this.network = network;
@@ -95,22 +95,22 @@
    *
    * @param ledger the requests during which upstreams crashed, merged by all instances
    */
-  public static GatherSystem create(
+  public static StateExchange create(
       Membership membership,
       PeerNetwork network,
       InstantSource clock,
       Meters meters,
-      Participant participant,
+      ExchangeParticipant participant,
       CrashLedger ledger) {
-    return new GatherSystem(membership, network, clock, meters, participant, ledger);
+    return new StateExchange(membership, network, clock, meters, participant, ledger);
   }
 
   @Override
   public void tick() {
     Instant now = clock.instant();
     startedAt = startedAt.or(() -> Optional.of(now));
-    pendingSessions.add(participant.newlySeen(), now);
-    Account own = participant.own();
+    pendingSessions.add(participant.drainPendingSessions(), now);
+    StateReport own = participant.own();
     Optional<Member> remoteCollector = collectors.ofOwnZone();
     if (remoteCollector.isEmpty()) {
       collect(own, now);
@@ -121,7 +121,7 @@
   }
 
   /** Sends the report of this instance at once, as after it refuted a version. */
-  public void tellNow() {
+  public void sendReportNow() {
     reportedAt = Instant.EPOCH;
     tick();
   }
@@ -130,18 +130,18 @@
    * Returns whether this instance has the session records of the others: it has the response of an
    * informed collector, or has run for long enough to have received them from all.
    */
-  public boolean isInformed() {
-    return informed || hasMet();
+  public boolean hasSessionRecords() {
+    return informed || hasInitialExchange();
   }
 
   /** Returns whether this instance has run for long enough to have received all reports. */
-  public boolean hasMet() {
+  public boolean hasInitialExchange() {
     return startedAt
         .map(start -> clock.instant().isAfter(start.plus(INITIAL_EXCHANGE)))
         .orElse(false);
   }
 
-  private boolean isDue(Account own, Instant now) {
+  private boolean isDue(StateReport own, Instant now) {
     Duration elapsed = Duration.between(reportedAt, now);
     if (own.worsePairs() > lastReport.worsePairs() || own.refuted() > lastReport.refuted()) {
       return true;
@@ -156,16 +156,16 @@
     return changed && elapsed.compareTo(MINIMUM_INTERVAL) >= 0 && elapsed.compareTo(interval) >= 0;
   }
 
-  private void sendReport(Member peer, Account own, Instant now) {
+  private void sendReport(Member peer, StateReport own, Instant now) {
     if (changeCollector(peer.process())) {
       // The previous collector may have lost its sessions; every instance resends its own.
-      pendingSessions.add(participant.seenHere(), now);
+      pendingSessions.add(participant.localSessions(), now);
     }
     requestOutstanding = true;
     lastReport = own;
     reportedAt = now;
     PendingSessions.Batch batch = pendingSessions.nextBatch(now);
-    CrashNews crashChanges = crashes.changesFor(peer);
+    CrashUpdate crashChanges = crashes.changesFor(peer);
     PeerMessage request =
         new PeerMessage.InstanceAccount(
             lastReport, batch.sessions(), readUpTo, crashChanges, crashes.readRevision(peer));
@@ -197,20 +197,20 @@
     if (response instanceof PeerMessage.FleetAccount fleet && isValid(peer, fleet.others())) {
       readUpTo = fleet.sessionsUpTo();
       informed |= fleet.informed();
-      participant.heard(fleet.others());
-      participant.heardSessions(validOf(fleet.seen()));
+      participant.applyReported(fleet.others());
+      participant.applyReportedSessions(validOf(fleet.seen()));
     }
   }
 
-  private void mergeCrashes(Member peer, CrashNews sent, PeerMessage response) {
+  private void mergeCrashes(Member peer, CrashUpdate sent, PeerMessage response) {
     if (response instanceof PeerMessage.FleetAccount fleet) {
       crashes.acknowledged(peer, sent);
       crashes.mergeResponse(peer, fleet.crashes());
     }
   }
 
-  private static List<SeenSession> validOf(List<SeenSession> sessions) {
-    return sessions.stream().filter(SeenSession::isValid).toList();
+  private static List<SessionObservation> validOf(List<SessionObservation> sessions) {
+    return sessions.stream().filter(SessionObservation::isValid).toList();
   }
 
   private void reportFailed(Member peer, Throwable failure) {
@@ -227,11 +227,11 @@
   }
 
   /** Aggregates the zone, including this instance, and sends the result to the other zones. */
-  private void collect(Account own, Instant now) {
+  private void collect(StateReport own, Instant now) {
     String self = membership.self().process();
     if (changeCollector(self)) {
       // Instances that start later need the sessions that the previous collector had received.
-      pendingSessions.add(participant.allSeen(), now);
+      pendingSessions.add(participant.knownSessions(), now);
     }
     aggregator.putInstance(self, own, now);
     PendingSessions.Batch batch = pendingSessions.nextBatch(now);
@@ -241,11 +241,11 @@
     if (Duration.between(reportedAt, now).compareTo(refresh) >= 0) {
       lastReport = own;
       reportedAt = now;
-      participant.heard(aggregator.sumExcept(self, now));
+      participant.applyReported(aggregator.sumExcept(self, now));
     }
     SessionLog.Batch unread = sessions.after(readUpTo, now);
     readUpTo = unread.upTo();
-    participant.heardSessions(unread.sessions());
+    participant.applyReportedSessions(unread.sessions());
     replicateToZones(now);
     pushRefuted(now);
     pushCrashes();
@@ -253,10 +253,10 @@
 
   /** Sends new crashes to the whole zone at once if they concern a suspected request. */
   private void pushCrashes() {
-    if (ledger.suspectsRevision() <= pushedCrashRevision) {
+    if (ledger.lastSuspectRevision() <= pushedCrashRevision) {
       return;
     }
-    CrashNews changes = ledger.after(pushedCrashRevision);
+    CrashUpdate changes = ledger.after(pushedCrashRevision);
     pushedCrashRevision = ledger.revision();
     for (Member peer : membership.zonePeers()) {
       network
@@ -267,7 +267,7 @@
   }
 
   private void replicateToZones(Instant now) {
-    Account own = aggregator.sumOfZone(now);
+    StateReport own = aggregator.sumOfZone(now);
     for (Member peer : collectors.ofOtherZones()) {
       zoneReplication
           .updateFor(peer, own, crashes.isBehind(peer), now)
@@ -276,7 +276,7 @@
   }
 
   private void replicateToZone(Member peer, ZoneReplication.Update update) {
-    CrashNews crashChanges = crashes.changesFor(peer);
+    CrashUpdate crashChanges = crashes.changesFor(peer);
     PeerMessage message =
         new PeerMessage.ZoneAccount(
             membership.self().zone(), update.report(), update.sessions(), crashChanges);
@@ -301,7 +301,7 @@
     long refuted = aggregator.sumExcept("", now).refuted();
     if (refuted > pushedRefuted) {
       for (Member peer : membership.zonePeers()) {
-        Account others = aggregator.sumExcept(peer.process(), now);
+        StateReport others = aggregator.sumExcept(peer.process(), now);
         network
             .ask(peer, pushOf(others), TIMEOUT)
             .subscribe()
@@ -311,8 +311,9 @@
     pushedRefuted = refuted;
   }
 
-  private PeerMessage pushOf(Account others) {
-    return new PeerMessage.FleetAccount(others, List.of(), 0, isInformed(), CrashNews.NONE);
+  private PeerMessage pushOf(StateReport others) {
+    return new PeerMessage.FleetAccount(
+        others, List.of(), 0, hasSessionRecords(), CrashUpdate.NONE);
   }
 
   /**
@@ -335,7 +336,7 @@
       if (!isValid(from, fleet.others())) {
         return rejection();
       }
-      participant.heard(fleet.others());
+      participant.applyReported(fleet.others());
       return new PeerMessage.Done();
     }
     return new PeerMessage.Failed("unexpected message");
@@ -351,12 +352,12 @@
       pushRefuted(now);
     }
     SessionLog.Batch unread = sessions.after(instance.sessionsUpTo(), now);
-    Account others = aggregator.sumExcept(from.process(), now);
+    StateReport others = aggregator.sumExcept(from.process(), now);
     return new PeerMessage.FleetAccount(
         others,
         unread.sessions(),
         unread.upTo(),
-        isInformed(),
+        hasSessionRecords(),
         ledger.after(instance.crashesUpTo()));
   }
 
@@ -382,7 +383,7 @@
         .with(response -> {}, failure -> sendFailed(peer, failure));
   }
 
-  private boolean isValid(Member from, Account report) {
+  private boolean isValid(Member from, StateReport report) {
     Optional<String> problem =
         report == null ? Optional.of("the report is missing") : report.problem();
     problem.ifPresent(
--- a/org.oatlug/src/org/oatlug/internal/gather/Account.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/StateReport.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import org.oatlug.internal.engine.ReadingLine;
+import org.oatlug.internal.engine.PrefillTimeModel;
 import org.oatlug.internal.limit.AdvertisedLimit;
 import org.oatlug.internal.rollout.VersionEvidence;
 
@@ -20,17 +20,17 @@
  *
  * @param openMillis the estimated prefill time of the pending prompts, in milliseconds by upstream
  * @param evidence the evidence on versions that are being rolled out, one entry per service
- * @param speeds the prefill speed of engines by model; a measurement of any instance is valid for
- *     all
+ * @param speeds the prefill time models of engines by model; a measurement of any instance is valid
+ *     for all
  * @param limits the rate limits that upstreams advertise, by upstream process
  */
-public record Account(
+public record StateReport(
     Map<String, Integer> openMillis,
     List<VersionEvidence> evidence,
-    Map<String, ReadingLine> speeds,
+    Map<String, PrefillTimeModel> speeds,
     Map<String, AdvertisedLimit> limits) {
   /** An empty report. */
-  public static final Account EMPTY = new Account(Map.of(), List.of(), Map.of(), Map.of());
+  public static final StateReport EMPTY = new StateReport(Map.of(), List.of(), Map.of(), Map.of());
 
   /** Exceeds the prefill time of the longest queue of an upstream, in milliseconds. */
   private static final int MAXIMUM_OPEN_MILLIS = 10_000_000;
@@ -39,24 +39,24 @@
   private static final int MAXIMUM_ENTRIES = 10_000;
 
   /** Replaces missing limits, as sent by an instance of an earlier version, by an empty map. */
-  public Account {
+  public StateReport {
     limits = limits == null ? Map.of() : limits;
   }
 
   /** Returns the aggregate of reports of different instances. */
-  static Account sumOf(Iterable<Account> reports) {
+  static StateReport sumOf(Iterable<StateReport> reports) {
     Map<String, Integer> open = new TreeMap<>();
-    Map<String, ReadingLine> lines = new TreeMap<>();
+    Map<String, PrefillTimeModel> lines = new TreeMap<>();
     Map<String, VersionEvidence> byService = new TreeMap<>();
     Map<String, AdvertisedLimit> newest = new TreeMap<>();
-    for (Account report : reports) {
+    for (StateReport report : reports) {
       report.openMillis.forEach((upstream, millis) -> open.merge(upstream, millis, Integer::sum));
       report.speeds.forEach(lines::putIfAbsent);
       report.limits.forEach((name, limit) -> newest.merge(name, limit, AdvertisedLimit::newer));
       report.evidence.forEach(
-          entry -> byService.merge(entry.service(), entry, Account::sumOrLatest));
+          entry -> byService.merge(entry.service(), entry, StateReport::sumOrLatest));
     }
-    return new Account(open, List.copyOf(byService.values()), lines, newest);
+    return new StateReport(open, List.copyOf(byService.values()), lines, newest);
   }
 
   /** Returns the sum of evidence on the same roll-out order; a later order replaces an earlier. */
@@ -71,7 +71,7 @@
    * Returns this report joined with an earlier one of the same instances, so that evidence never
    * decreases.
    */
-  Account joinEarlier(Account earlier) {
+  StateReport joinEarlier(StateReport earlier) {
     List<VersionEvidence> joined = new ArrayList<>();
     for (VersionEvidence current : evidence) {
       VersionEvidence result = current;
@@ -80,17 +80,17 @@
       }
       joined.add(result);
     }
-    Map<String, ReadingLine> lines = new TreeMap<>(earlier.speeds);
+    Map<String, PrefillTimeModel> lines = new TreeMap<>(earlier.speeds);
     lines.putAll(speeds);
-    return new Account(openMillis, joined, lines, limits);
+    return new StateReport(openMillis, joined, lines, limits);
   }
 
   /** Returns this report with all ages increased by the elapsed time. */
-  Account aged(Duration elapsed) {
+  StateReport aged(Duration elapsed) {
     if (evidence.isEmpty() && limits.isEmpty()) {
       return this;
     }
-    return new Account(
+    return new StateReport(
         openMillis,
         evidence.stream().map(entry -> entry.after(elapsed)).toList(),
         speeds,
@@ -98,24 +98,24 @@
   }
 
   /** Returns whether the reports are equal apart from ages. */
-  boolean equalsIgnoringAges(Account other) {
+  boolean equalsIgnoringAges(StateReport other) {
     return openMillis.equals(other.openMillis)
         && speeds.equals(other.speeds)
-        && ageless(limits).equals(ageless(other.limits))
-        && ageless(evidence).equals(ageless(other.evidence));
+        && withoutAge(limits).equals(withoutAge(other.limits))
+        && withoutAge(evidence).equals(withoutAge(other.evidence));
   }
 
-  private static List<VersionEvidence> ageless(List<VersionEvidence> evidence) {
-    return evidence.stream().map(VersionEvidence::ageless).toList();
+  private static List<VersionEvidence> withoutAge(List<VersionEvidence> evidence) {
+    return evidence.stream().map(VersionEvidence::withoutAge).toList();
   }
 
-  private static Map<String, Double> ageless(Map<String, AdvertisedLimit> limits) {
+  private static Map<String, Double> withoutAge(Map<String, AdvertisedLimit> limits) {
     return Maps.transformValues(limits, AdvertisedLimit::requestsPerSecond);
   }
 
   /** Returns this report without the pending prompts. */
-  Account withoutPendingPrompts() {
-    return new Account(Map.of(), evidence, speeds, limits);
+  StateReport withoutPendingPrompts() {
+    return new StateReport(Map.of(), evidence, speeds, limits);
   }
 
   /** Returns the number of compared pairs in which the new version was worse. */
@@ -142,10 +142,10 @@
     if (entries > MAXIMUM_ENTRIES) {
       return Optional.of("the report has " + entries + " entries");
     }
-    if (!openMillis.values().stream().allMatch(Account::isValidOpenMillis)) {
+    if (!openMillis.values().stream().allMatch(StateReport::isValidOpenMillis)) {
       return Optional.of("a pending prefill time is negative or too long");
     }
-    if (!speeds.values().stream().allMatch(Account::isValidSpeed)) {
+    if (!speeds.values().stream().allMatch(StateReport::isValidSpeed)) {
       return Optional.of("a prefill speed is missing, negative or not finite");
     }
     if (!limits.values().stream().allMatch(limit -> limit != null && limit.isSound())) {
@@ -164,11 +164,11 @@
     return millis != null && millis >= 0 && millis <= MAXIMUM_OPEN_MILLIS;
   }
 
-  private static boolean isValidSpeed(ReadingLine line) {
-    return line != null
-        && Double.isFinite(line.fixedMillis())
-        && Double.isFinite(line.millisPerToken())
-        && line.fixedMillis() >= 0
-        && line.millisPerToken() >= 0;
+  private static boolean isValidSpeed(PrefillTimeModel model) {
+    return model != null
+        && Double.isFinite(model.fixedMillis())
+        && Double.isFinite(model.millisPerToken())
+        && model.fixedMillis() >= 0
+        && model.millisPerToken() >= 0;
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gather/ZoneReplication.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/ZoneReplication.java
@@ -39,17 +39,17 @@
    */
   private record Sent(
       String process,
-      Account report,
+      StateReport report,
       Instant sentAt,
       long allZonesUpTo,
       long sessionsUpTo,
       long previousUpTo) {
-    Sent next(Account own, Instant now, long upTo) {
+    Sent next(StateReport own, Instant now, long upTo) {
       return new Sent(process, own, now, allZonesUpTo, upTo, sessionsUpTo);
     }
 
     Sent lost(Instant now) {
-      return new Sent(process, Account.EMPTY, now, allZonesUpTo, previousUpTo, previousUpTo);
+      return new Sent(process, StateReport.EMPTY, now, allZonesUpTo, previousUpTo, previousUpTo);
     }
   }
 
@@ -59,7 +59,7 @@
    * @param report the report of the own zone
    * @param sessions the sessions that were not yet sent
    */
-  record Update(Account report, List<SeenSession> sessions) {}
+  record Update(StateReport report, List<SessionObservation> sessions) {}
 
   private ZoneReplication(SessionLog sessions) {
     this.sessions = sessions;
@@ -75,7 +75,7 @@
    *
    * @param urgent whether other content has to be sent at once
    */
-  Optional<Update> updateFor(Member collector, Account own, boolean urgent, Instant now) {
+  Optional<Update> updateFor(Member collector, StateReport own, boolean urgent, Instant now) {
     Sent previous = lastSentTo(collector);
     SessionLog.Batch batch = unsentSessions(previous, now);
     boolean changed = !batch.sessions().isEmpty() || !own.equalsIgnoringAges(previous.report());
@@ -93,7 +93,7 @@
   }
 
   private Sent emptyStateOf(Member collector) {
-    return new Sent(collector.process(), Account.EMPTY, Instant.EPOCH, sessions.last(), 0, 0);
+    return new Sent(collector.process(), StateReport.EMPTY, Instant.EPOCH, sessions.last(), 0, 0);
   }
 
   private SessionLog.Batch unsentSessions(Sent previous, Instant now) {
@@ -103,12 +103,12 @@
         : sessions.ofOwnZoneAfter(from, now);
   }
 
-  private static boolean hasNewEvidence(Sent previous, Account own) {
+  private static boolean hasNewEvidence(Sent previous, StateReport own) {
     return own.worsePairs() > previous.report().worsePairs()
         || own.refuted() > previous.report().refuted();
   }
 
-  private static boolean isDue(Sent previous, Account own, boolean changed, Instant now) {
+  private static boolean isDue(Sent previous, StateReport own, boolean changed, Instant now) {
     Duration elapsed = Duration.between(previous.sentAt(), now);
     boolean expiresSoon =
         !own.openMillis().isEmpty() && elapsed.compareTo(ReportAggregator.REFRESH_INTERVAL) >= 0;
--- a/org.oatlug/src/org/oatlug/internal/http/CallerServer.java
+++ b/org.oatlug/src/org/oatlug/internal/http/CallerServer.java
@@ -27,7 +27,7 @@
 import org.oatlug.config.Settings;
 import org.oatlug.errors.ErrorText;
 import org.oatlug.errors.RefusedException;
-import org.oatlug.internal.ledger.ClaimDesk;
+import org.oatlug.internal.ledger.ClaimSystem;
 import org.oatlug.internal.ledger.LedgerEntry;
 import org.oatlug.internal.routing.RouteRequest;
 import org.oatlug.internal.util.Hashes;
@@ -120,13 +120,13 @@
   private void claimAndForward(
       CallerRequest request,
       String fingerprint,
-      Function<Optional<ClaimDesk.Claim>, Plan> planFactory) {
+      Function<Optional<ClaimSystem.Claim>, Plan> planFactory) {
     Optional<String> key = request.header(Headers.IDEMPOTENCY_KEY);
     if (key.isEmpty()) {
       new Forwarding(services, request, planFactory.apply(Optional.empty())).start();
       return;
     }
-    Uni<ClaimDesk.Claim> claim =
+    Uni<ClaimSystem.Claim> claim =
         services.claims().claim(request.workspaceName() + "\n" + key.get(), fingerprint);
     claim
         .subscribe()
--- a/org.oatlug/src/org/oatlug/internal/http/ChatPlan.java
+++ b/org.oatlug/src/org/oatlug/internal/http/ChatPlan.java
@@ -23,7 +23,7 @@
 import org.oatlug.internal.cascade.RatingTable;
 import org.oatlug.internal.engine.RatingClient;
 import org.oatlug.internal.engine.UpstreamCaller;
-import org.oatlug.internal.ledger.ClaimDesk;
+import org.oatlug.internal.ledger.ClaimSystem;
 import org.oatlug.internal.ledger.LedgerEntry;
 import org.oatlug.internal.rollout.RolloutGuard;
 import org.oatlug.internal.routing.RouteRequest;
@@ -50,12 +50,12 @@
   private final CallerRequest request;
   private final ChatBody body;
   private final String task;
-  private final Optional<ClaimDesk.Claim> claim;
+  private final Optional<ClaimSystem.Claim> claim;
   private final BillDraft bill;
   private RouteRequest routeRequest;
 
   ChatPlan(
-      Services services, CallerRequest request, ChatBody body, Optional<ClaimDesk.Claim> claim) {
+      Services services, CallerRequest request, ChatBody body, Optional<ClaimSystem.Claim> claim) {
     this.services = services;
     this.request = request;
     this.body = body;
@@ -371,7 +371,7 @@
         new RatingClient.Answer(request.id(), request.workspaceName(), task, route.version(), text);
     RatingTable.Subject subject =
         new RatingTable.Subject(request.workspaceName(), task, route.model());
-    services.tables().ratings().handedOver(subject);
+    services.tables().ratings().recordSubmission(subject);
     return services
         .rating()
         .rate(answer)
@@ -393,7 +393,7 @@
   }
 
   private Uni<Void> endClaim(
-      ClaimDesk.Claim claimed, LedgerEntry.Outcome.Kind kind, Buffer content) {
+      ClaimSystem.Claim claimed, LedgerEntry.Outcome.Kind kind, Buffer content) {
     boolean isRecorded = content.length() <= MAXIMUM_RECORDED_BYTES;
     LedgerEntry.Outcome.Kind recordedKind =
         kind == LedgerEntry.Outcome.Kind.ANSWERED && !isRecorded
--- a/org.oatlug/src/org/oatlug/internal/http/Forwarding.java
+++ b/org.oatlug/src/org/oatlug/internal/http/Forwarding.java
@@ -19,7 +19,7 @@
 import org.oatlug.errors.UpstreamFailedException;
 import org.oatlug.errors.UpstreamFailedException.Progress;
 import org.oatlug.internal.engine.UpstreamCaller;
-import org.oatlug.internal.limit.WaitingLine;
+import org.oatlug.internal.limit.AdmissionQueue;
 import org.oatlug.internal.routing.RoutingDecision;
 import org.oatlug.internal.routing.RoutingDecision.Route;
 import org.oatlug.internal.table.UpstreamRow;
@@ -44,7 +44,7 @@
   private final CallerRequest request;
   private final Plan plan;
   private final Set<String> failedUpstreams = new HashSet<>();
-  private UpstreamCaller.Attempt attempt = UpstreamCaller.Attempt.whileRight(() -> true);
+  private UpstreamCaller.Attempt attempt = UpstreamCaller.Attempt.validWhile(() -> true);
   private boolean dispatched;
   private boolean mayHaveRun;
   private boolean outcomeReported;
@@ -58,7 +58,7 @@
 
   /** Starts forwarding the request. */
   void start() {
-    services.retries().firstTry();
+    services.retries().recordFirstAttempt();
     request.onDisconnect(this::callerDisconnected);
     Duration remaining = Duration.between(services.clock().instant(), request.deadline());
     long millis = Math.max(1, remaining.toMillis());
@@ -101,15 +101,15 @@
     Instant firstByteDeadline = now.plusMillis(services.settings().limits().firstByteMillis());
     Instant deadline =
         firstByteDeadline.isBefore(request.deadline()) ? firstByteDeadline : request.deadline();
-    WaitingLine.Waiting queuedRequest =
-        new WaitingLine.Waiting(
+    AdmissionQueue.QueuedRequest queuedRequest =
+        new AdmissionQueue.QueuedRequest(
             plan.target(),
             request.workspace().priority(),
             deadline,
             this::tryRoute,
             () -> refuse(RefusalReason.OVERLOADED, ErrorText.get().overloaded));
     services.meters().count("line.asked");
-    services.waitQueue().enter(queuedRequest, now).ifPresent(wait -> end(overloaded(wait)));
+    services.waitQueue().enqueue(queuedRequest, now).ifPresent(wait -> end(overloaded(wait)));
   }
 
   private Refusal overloaded(Duration wait) {
@@ -146,7 +146,7 @@
   private void release(UpstreamRow row) {
     row.release();
     Instant now = services.clock().instant();
-    services.waitQueue().freed(now);
+    services.waitQueue().recordRelease(now);
     services.vertx().runOnContext(unused -> services.waitQueue().serve(now));
   }
 
@@ -180,7 +180,7 @@
       return;
     }
     Upstream upstream = services.tables().catalogue().upstream(route.upstream()).orElseThrow();
-    attempt = UpstreamCaller.Attempt.whileRight(() -> isRouteValid(route, row));
+    attempt = UpstreamCaller.Attempt.validWhile(() -> isRouteValid(route, row));
     dispatched = true;
     Instant sent = services.clock().instant();
     services
@@ -194,7 +194,7 @@
   private boolean isRouteValid(Route route, UpstreamRow row) {
     Optional<Upstream> upstream = services.tables().catalogue().upstream(route.upstream());
     boolean isRemoved = upstream.isEmpty() || upstream.get().leaving() || row.leaving();
-    boolean isBackingOff = row.isResting(services.clock().instant());
+    boolean isBackingOff = row.isBackingOff(services.clock().instant());
     return !isRemoved
         && !isBackingOff
         && services.tables().freshness().isConfirmed()
@@ -311,8 +311,8 @@
   private void recordFailure(UpstreamRow row, UpstreamFailedException failure) {
     Instant now = services.clock().instant();
     failure
-        .rest()
-        .ifPresentOrElse(backOff -> row.restUntil(now.plus(backOff)), () -> row.failed(now));
+        .retryAfter()
+        .ifPresentOrElse(backOff -> row.backOffUntil(now.plus(backOff)), () -> row.failed(now));
   }
 
   private boolean mayRetry(String cause) {
--- a/org.oatlug/src/org/oatlug/internal/http/OperatorServer.java
+++ b/org.oatlug/src/org/oatlug/internal/http/OperatorServer.java
@@ -100,9 +100,9 @@
     responseBody.put("ready", ready.getAsBoolean());
     responseBody.put("reader", services.membership().isReader());
     responseBody.put("openRequests", services.open().count());
-    responseBody.put("unconfirmedBills", services.billing().unconfirmed());
+    responseBody.put("unconfirmedBills", services.billing().unconfirmedCount());
     responseBody.put("heldBills", services.billing().held());
-    responseBody.put("unrecordedOutcomes", services.claims().unrecorded());
+    responseBody.put("unrecordedOutcomes", services.claims().unrecordedCount());
     services
         .tables()
         .freshness()
--- a/org.oatlug/src/org/oatlug/internal/http/ServicePlan.java
+++ b/org.oatlug/src/org/oatlug/internal/http/ServicePlan.java
@@ -15,7 +15,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.oatlug.internal.engine.UpstreamCaller;
-import org.oatlug.internal.ledger.ClaimDesk;
+import org.oatlug.internal.ledger.ClaimSystem;
 import org.oatlug.internal.ledger.LedgerEntry;
 import org.oatlug.internal.routing.RouteRequest;
 import org.oatlug.internal.routing.RoutingDecision;
@@ -35,7 +35,7 @@
   private final CallerRequest request;
   private final Target target;
   private final Buffer body;
-  private final Optional<ClaimDesk.Claim> claim;
+  private final Optional<ClaimSystem.Claim> claim;
   private final RouteRequest routeRequest;
 
   ServicePlan(
@@ -43,7 +43,7 @@
       CallerRequest request,
       Target target,
       Buffer body,
-      Optional<ClaimDesk.Claim> claim) {
+      Optional<ClaimSystem.Claim> claim) {
     this.services = services;
     this.request = request;
     this.target = target;
@@ -156,7 +156,7 @@
 
   private LedgerEntry.Outcome outcome(
       LedgerEntry.Outcome.Kind kind, int status, String type, String text) {
-    ClaimDesk.Claim claimed = claim.orElseThrow();
+    ClaimSystem.Claim claimed = claim.orElseThrow();
     return new LedgerEntry.Outcome(claimed.key(), claimed.attempt(), kind, status, type, text);
   }
 
--- a/org.oatlug/src/org/oatlug/internal/http/Services.java
+++ b/org.oatlug/src/org/oatlug/internal/http/Services.java
@@ -11,11 +11,11 @@
 import org.oatlug.internal.config.ConfigurationSystem;
 import org.oatlug.internal.engine.RatingClient;
 import org.oatlug.internal.engine.UpstreamCaller;
-import org.oatlug.internal.ledger.ClaimDesk;
+import org.oatlug.internal.ledger.ClaimSystem;
 import org.oatlug.internal.ledger.Ledger;
+import org.oatlug.internal.limit.AdmissionQueue;
 import org.oatlug.internal.limit.OpenRequests;
 import org.oatlug.internal.limit.RetryBudget;
-import org.oatlug.internal.limit.WaitingLine;
 import org.oatlug.internal.limit.WorkspaceLimits;
 import org.oatlug.internal.membership.Membership;
 import org.oatlug.internal.metrics.Meters;
@@ -24,7 +24,7 @@
 import org.oatlug.internal.routing.Router;
 import org.oatlug.internal.session.SessionKeys;
 import org.oatlug.internal.table.Tables;
-import org.oatlug.internal.util.PauseWatch;
+import org.oatlug.internal.util.PauseDetector;
 
 /**
  * Components of one instance that request handling uses. Immutable; the components belong to one
@@ -59,7 +59,7 @@
     Tables tables,
     Router router,
     UpstreamCaller caller,
-    ClaimDesk claims,
+    ClaimSystem claims,
     Ledger ledger,
     BillingSystem billing,
     Membership membership,
@@ -70,9 +70,9 @@
     SessionKeys sessionKeys,
     OpenRequests open,
     WorkspaceLimits limits,
-    WaitingLine waitQueue,
+    AdmissionQueue waitQueue,
     RetryBudget retries,
-    PauseWatch pauseDetector,
+    PauseDetector pauseDetector,
     Meters meters) {
 
   /** Returns the metric registry. */
--- a/org.oatlug/src/org/oatlug/internal/ledger/ClaimDesk.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/ClaimSystem.java
@@ -29,7 +29,7 @@
  * voided, so that a retry by the caller may run. A void or an outcome that cannot be recorded is
  * retried until it succeeds. Owned by one event loop, not thread-safe.
  */
-public final class ClaimDesk implements TickSystem {
+public final class ClaimSystem implements TickSystem {
   private static final Duration RETRY_AFTER = Duration.ofSeconds(2);
   private static final Duration RETRY_INTERVAL = Duration.ofMillis(500);
   private static final int MAXIMUM_UNRECORDED = 10_000;
@@ -38,10 +38,10 @@
   private final Membership membership;
   private final InstantSource clock;
   private final Meters meters;
-  private final Deque<LedgerEntry> unrecorded = new ArrayDeque<>();
+  private final Deque<LedgerEntry> retryQueue = new ArrayDeque<>();
   private Instant nextRetry = Instant.EPOCH;
 
-  private ClaimDesk(
+  private ClaimSystem(
       Function<LedgerEntry, Uni<LedgerResult>> ledger,
       Membership membership,
       InstantSource clock,
@@ -57,12 +57,12 @@
    *
    * @param ledger submits an entry and completes when it is confirmed
    */
-  public static ClaimDesk create(
+  public static ClaimSystem create(
       Function<LedgerEntry, Uni<LedgerResult>> ledger,
       Membership membership,
       InstantSource clock,
       Meters meters) {
-    return new ClaimDesk(ledger, membership, clock, meters);
+    return new ClaimSystem(ledger, membership, clock, meters);
   }
 
   /**
@@ -115,8 +115,8 @@
   }
 
   /** Returns the number of outcomes and voids that are queued for retry. */
-  public int unrecorded() {
-    return unrecorded.size();
+  public int unrecordedCount() {
+    return retryQueue.size();
   }
 
   @Override
@@ -126,9 +126,9 @@
       return;
     }
     nextRetry = now.plus(RETRY_INTERVAL);
-    for (int count = unrecorded.size(); count > 0; count--) {
+    for (int count = retryQueue.size(); count > 0; count--) {
       meters.count("retry.ledger-entry");
-      record(unrecorded.removeFirst());
+      record(retryQueue.removeFirst());
     }
   }
 
@@ -164,7 +164,7 @@
   }
 
   private Refusal refusalOfTaken(String process) {
-    if (membership.isLost(process)) {
+    if (membership.isUnresponsiveOrGone(process)) {
       return Refusal.unknown(RefusalReason.MAY_HAVE_RUN, ErrorText.get().mayHaveRun);
     }
     String detail = ErrorText.get().stillRunning;
@@ -181,10 +181,10 @@
   }
 
   private void enqueue(LedgerEntry entry) {
-    if (unrecorded.size() >= MAXIMUM_UNRECORDED) {
+    if (retryQueue.size() >= MAXIMUM_UNRECORDED) {
       meters.count("ledger.unrecorded-dropped");
       return;
     }
-    unrecorded.addLast(entry);
+    retryQueue.addLast(entry);
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/ledger/Ledger.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/Ledger.java
@@ -121,7 +121,7 @@
   }
 
   /** Submits the entries received from another instance. */
-  public Uni<PeerMessage> submitted(PeerMessage.Submit message) {
+  public Uni<PeerMessage> handleSubmit(PeerMessage.Submit message) {
     Shard shard = claims.getOrDefault(message.shard(), bills.get(message.shard()));
     if (shard == null) {
       return Uni.createFrom().item(new PeerMessage.Failed("unknown shard"));
--- a/org.oatlug/src/org/oatlug/internal/limit/WaitingLine.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/AdmissionQueue.java
@@ -22,7 +22,7 @@
  * exceeds its deadline is not queued, and one whose deadline passed is refused at once. Owned by
  * one event loop, not thread-safe.
  */
-public final class WaitingLine {
+public final class AdmissionQueue {
   private static final double SMOOTHING = 0.05;
   private static final double QUEUE_TIME_SHARE = 0.5;
   private static final double NANOS_PER_SECOND = 1e9;
@@ -36,11 +36,11 @@
   private Instant lastFreedAt = Instant.EPOCH;
   private long lastNumber;
 
-  private WaitingLine() {}
+  private AdmissionQueue() {}
 
   /** Returns an empty queue. */
-  public static WaitingLine create() {
-    return new WaitingLine();
+  public static AdmissionQueue create() {
+    return new AdmissionQueue();
   }
 
   /**
@@ -52,13 +52,13 @@
    * @param proceed tries to send the request; returns whether it leaves the queue
    * @param giveUp refuses the request
    */
-  public record Waiting(
+  public record QueuedRequest(
       String target, int priority, Instant deadline, BooleanSupplier proceed, Runnable giveUp) {}
 
-  private record Entry(Waiting request, long number, Instant latestStart) {}
+  private record Entry(QueuedRequest request, long number, Instant latestStart) {}
 
   /** Queues a request and returns empty, or returns the predicted wait if that is too long. */
-  public Optional<Duration> enter(Waiting request, Instant now) {
+  public Optional<Duration> enqueue(QueuedRequest request, Instant now) {
     Duration wait = predictedWait(request);
     long remainingMillis = Duration.between(now, request.deadline()).toMillis();
     Instant latestStart = now.plusMillis((long) (remainingMillis * QUEUE_TIME_SHARE));
@@ -70,7 +70,7 @@
   }
 
   /** Records that a request of this instance has left an upstream. */
-  public void freed(Instant now) {
+  public void recordRelease(Instant now) {
     if (!lastFreedAt.equals(Instant.EPOCH)) {
       double interval = Duration.between(lastFreedAt, now).toNanos() / NANOS_PER_SECOND;
       meanIntervalSeconds += SMOOTHING * (interval - meanIntervalSeconds);
@@ -82,7 +82,7 @@
   public void serve(Instant now) {
     Set<String> fullTargets = new HashSet<>();
     for (Entry entry : List.copyOf(entries)) {
-      Waiting request = entry.request();
+      QueuedRequest request = entry.request();
       if (!now.isBefore(entry.latestStart())) {
         entries.remove(entry);
         request.giveUp().run();
@@ -105,7 +105,7 @@
     return entries.size();
   }
 
-  private Duration predictedWait(Waiting request) {
+  private Duration predictedWait(QueuedRequest request) {
     long ahead =
         entries.stream()
             .filter(entry -> entry.request().target().equals(request.target()))
--- a/org.oatlug/src/org/oatlug/internal/limit/AdvertisedLimits.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/AdvertisedLimits.java
@@ -42,8 +42,8 @@
   private static final int LOG_PERIOD_MILLIS = 20;
 
   private final InstantSource clock;
-  private final Map<String, Observation> valid = BoundedMap.ofMost(MAXIMUM_UPSTREAMS);
-  private final Map<String, Observation> own = BoundedMap.ofMost(MAXIMUM_UPSTREAMS);
+  private final Map<String, Observation> valid = BoundedMap.withMaximumSize(MAXIMUM_UPSTREAMS);
+  private final Map<String, Observation> own = BoundedMap.withMaximumSize(MAXIMUM_UPSTREAMS);
 
   /**
    * An observation of the limit of an upstream.
--- a/org.oatlug/src/org/oatlug/internal/limit/CapacityRule.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/CapacityRule.java
@@ -28,7 +28,7 @@
    * <p>The short queue covers the delay until an instance learns of a free slot; a longer one would
    * bind requests to this upstream while another has a free slot.
    */
-  static CapacityRule slotsAndFewWaiting() {
+  static CapacityRule slotsAndShortQueue() {
     return (table, row, upstream) ->
         table.estimatedLoad(row) >= upstream.slots() * (1 + QUEUE_SHARE);
   }
--- a/org.oatlug/src/org/oatlug/internal/limit/TurnLine.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/DispatchQueue.java
@@ -29,7 +29,7 @@
  *
  * @param <T> the type of requests
  */
-public final class TurnLine<T> {
+public final class DispatchQueue<T> {
   /** Many iterations without overload; requests older than this miss short latency targets. */
   private static final Duration OVERLOAD_WAIT = Duration.ofMillis(100);
 
@@ -41,7 +41,7 @@
 
   private record Entry<T>(T request, Instant since) {}
 
-  private TurnLine(InstantSource clock, Executor eventLoop, Predicate<T> start) {
+  private DispatchQueue(InstantSource clock, Executor eventLoop, Predicate<T> start) {
     this.clock = clock;
     this.eventLoop = eventLoop;
     this.start = start;
@@ -53,13 +53,13 @@
    * @param eventLoop runs an action in a later iteration of the event loop
    * @param start starts a request; returns whether it could still be served
    */
-  public static <T> TurnLine<T> create(
+  public static <T> DispatchQueue<T> create(
       InstantSource clock, Executor eventLoop, Predicate<T> start) {
-    return new TurnLine<>(clock, eventLoop, start);
+    return new DispatchQueue<>(clock, eventLoop, start);
   }
 
   /** Starts the request now or, if another started in this iteration, queues it. */
-  public void enter(T request) {
+  public void enqueue(T request) {
     queue.addLast(new Entry<>(request, clock.instant()));
     startNext();
   }
--- a/org.oatlug/src/org/oatlug/internal/limit/RankedSenders.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/RankedSenders.java
@@ -68,12 +68,12 @@
 
   private final String self;
   private final Supplier<List<Member>> live;
-  private final BooleanSupplier knowsOfOthers;
+  private final BooleanSupplier hasKnownPeers;
   private final InstantSource clock;
   private final Instant startedAt;
-  private final Map<String, LastSeen> roster = BoundedMap.ofMost(MAXIMUM_REMEMBERED);
-  private final Map<String, Integer> ranks = BoundedMap.ofMost(MAXIMUM_RANKS);
-  private final Map<String, Integer> liveRanks = BoundedMap.ofMost(MAXIMUM_RANKS);
+  private final Map<String, LastSeen> roster = BoundedMap.withMaximumSize(MAXIMUM_REMEMBERED);
+  private final Map<String, Integer> ranks = BoundedMap.withMaximumSize(MAXIMUM_RANKS);
+  private final Map<String, Integer> liveRanks = BoundedMap.withMaximumSize(MAXIMUM_RANKS);
   private final Map<String, Zone> zones = new HashMap<>();
 
   /** The instances of all zones, for upstreams of a zone without instances. */
@@ -108,11 +108,11 @@
   private RankedSenders(
       String self,
       Supplier<List<Member>> live,
-      BooleanSupplier knowsOfOthers,
+      BooleanSupplier hasKnownPeers,
       InstantSource clock) {
     this.self = self;
     this.live = live;
-    this.knowsOfOthers = knowsOfOthers;
+    this.hasKnownPeers = hasKnownPeers;
     this.clock = clock;
     this.startedAt = clock.instant();
   }
@@ -122,14 +122,14 @@
    *
    * @param self the name of this instance
    * @param live the instances considered live, including this instance
-   * @param knowsOfOthers whether any other instance is known, at least by its address
+   * @param hasKnownPeers whether any other instance is known, at least by its address
    */
   public static RankedSenders create(
       String self,
       Supplier<List<Member>> live,
-      BooleanSupplier knowsOfOthers,
+      BooleanSupplier hasKnownPeers,
       InstantSource clock) {
-    return new RankedSenders(self, live, knowsOfOthers, clock);
+    return new RankedSenders(self, live, hasKnownPeers, clock);
   }
 
   @Override
@@ -218,7 +218,7 @@
   }
 
   private boolean isSettled() {
-    boolean alone = roster.size() <= 1 && knowsOfOthers.getAsBoolean();
+    boolean alone = roster.size() <= 1 && hasKnownPeers.getAsBoolean();
     return !alone && !clock.instant().isBefore(startedAt.plus(SETTLING_TIME));
   }
 
--- a/org.oatlug/src/org/oatlug/internal/limit/AskedRest.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/RetryAfter.java
@@ -12,7 +12,7 @@
  * Parses the header {@code Retry-After}, the time for which an upstream that refused a request asks
  * to receive no more. Stateless, thread-safe.
  */
-public final class AskedRest {
+public final class RetryAfter {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final double NANOS_PER_SECOND = 1e9;
   private static final Pattern SECONDS = Pattern.compile("\\d{1,9}(\\.\\d{1,9})?");
@@ -27,7 +27,7 @@
   /** The minimum interval between log lines about replaced values, in seconds. */
   private static final int LOG_PERIOD_SECONDS = 1;
 
-  private AskedRest() {}
+  private RetryAfter() {}
 
   /**
    * Returns the delay, zero or more and bounded.
--- a/org.oatlug/src/org/oatlug/internal/limit/RetryBudget.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/RetryBudget.java
@@ -41,7 +41,7 @@
   }
 
   /** Counts a first attempt. */
-  public void firstTry() {
+  public void recordFirstAttempt() {
     balance = Math.min(reserve.getAsDouble(), balance + share);
   }
 
--- a/org.oatlug/src/org/oatlug/internal/limit/SharedRateLimit.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/SharedRateLimit.java
@@ -43,7 +43,7 @@
    * The time for which senders may be idle before others take over: several times the probe
    * interval.
    */
-  public static final Duration TURN = Duration.ofSeconds(10);
+  public static final Duration ROTATION_INTERVAL = Duration.ofSeconds(10);
 
   /** The number of sets of senders that may be active at the same time. */
   private static final int CONCURRENT_SENDER_SETS = 2;
@@ -60,7 +60,7 @@
   private static final int MAXIMUM_UPSTREAMS = 2048;
 
   private final SenderSelection senders;
-  private final Map<String, Window> windows = BoundedMap.ofMost(MAXIMUM_UPSTREAMS);
+  private final Map<String, Window> windows = BoundedMap.withMaximumSize(MAXIMUM_UPSTREAMS);
 
   private SharedRateLimit(SenderSelection senders) {
     this.senders = senders;
@@ -113,7 +113,7 @@
      */
     public static Target advertised(String upstream, String zone, AdvertisedLimit limit) {
       double rate = Math.max(PROBES_PER_SECOND, limit.requestsPerSecond());
-      long rotation = limit.ageMillis() / TURN.toMillis();
+      long rotation = limit.ageMillis() / ROTATION_INTERVAL.toMillis();
       int senders = (int) Math.max(1, rate / CONCURRENT_SENDER_SETS);
       return new Target(
           upstream,
--- a/org.oatlug/src/org/oatlug/internal/membership/Membership.java
+++ b/org.oatlug/src/org/oatlug/internal/membership/Membership.java
@@ -103,7 +103,7 @@
   }
 
   /** Adds listed instances that are unknown; the list may be outdated and proves no death. */
-  public void listed(List<Platform.ListedInstance> instances) {
+  public void mergeListed(List<Platform.ListedInstance> instances) {
     for (Platform.ListedInstance instance : instances) {
       if (!members.containsKey(instance.name())) {
         merge(
@@ -127,12 +127,12 @@
   }
 
   /** Returns whether any other instance is known, by its record or only by a seed address. */
-  public boolean knowsOfOthers() {
+  public boolean hasKnownPeers() {
     return live().size() > 1 || seeds.stream().anyMatch(seed -> !isOwn(seed));
   }
 
   /** Returns the other instances with an address: the live ones and unknown seeds. */
-  public List<Member> addressedPeers() {
+  public List<Member> addressablePeers() {
     List<Member> peers = new ArrayList<>(live());
     peers.removeIf(this::isSelf);
     for (Settings.Address seed : seeds) {
@@ -220,7 +220,7 @@
    * <p>A call makes this instance probe the process for a while. A process behind a network
    * partition counts as lost, too, so the handling of a lost process must be safe if it still runs.
    */
-  public boolean isLost(String process) {
+  public boolean isUnresponsiveOrGone(String process) {
     if (isGone(process)) {
       return true;
     }
@@ -246,7 +246,7 @@
    * Returns the instances that may read in place of this one: the non-readers of the zone by rank,
    * rotated by the rank of this instance so that each reader starts with a different one.
    */
-  public List<Member> standInsForReader() {
+  public List<Member> substituteReaders() {
     List<String> ranked = view().readerRank();
     List<Member> substitutes =
         new ArrayList<>(ranked.stream().skip(READERS).map(members::get).toList());
--- a/org.oatlug/src/org/oatlug/internal/peer/CountedPeers.java
+++ b/org.oatlug/src/org/oatlug/internal/peer/MeteredPeerNetwork.java
@@ -14,12 +14,12 @@
  * peer.unanswered.TYPE}. TYPE is the simple name of the message class, so renaming a class renames
  * its metrics. Used from one event loop.
  */
-public final class CountedPeers implements PeerNetwork {
+public final class MeteredPeerNetwork implements PeerNetwork {
   private final PeerNetwork delegate;
   private final Supplier<Member> self;
   private final Meters meters;
 
-  private CountedPeers(PeerNetwork delegate, Supplier<Member> self, Meters meters) {
+  private MeteredPeerNetwork(PeerNetwork delegate, Supplier<Member> self, Meters meters) {
     this.delegate = delegate;
     this.self = self;
     this.meters = meters;
@@ -27,7 +27,7 @@
 
   /** Returns a network that counts the requests to the given one. */
   public static PeerNetwork of(PeerNetwork delegate, Supplier<Member> self, Meters meters) {
-    return new CountedPeers(delegate, self, meters);
+    return new MeteredPeerNetwork(delegate, self, meters);
   }
 
   @Override
--- a/org.oatlug/src/org/oatlug/internal/peer/PeerMessage.java
+++ b/org.oatlug/src/org/oatlug/internal/peer/PeerMessage.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import org.oatlug.api.ObjectKey;
 import org.oatlug.internal.billing.Bill;
-import org.oatlug.internal.crash.CrashNews;
-import org.oatlug.internal.gather.Account;
-import org.oatlug.internal.gather.SeenSession;
+import org.oatlug.internal.crash.CrashUpdate;
+import org.oatlug.internal.gather.SessionObservation;
+import org.oatlug.internal.gather.StateReport;
 import org.oatlug.internal.ledger.LedgerEntry;
 import org.oatlug.internal.ledger.LedgerResult;
 import org.oatlug.platform.StoreRevision;
@@ -115,16 +115,16 @@
    * read the collector's crashes.
    */
   record InstanceAccount(
-      Account account,
-      List<SeenSession> seen,
+      StateReport account,
+      List<SessionObservation> seen,
       long sessionsUpTo,
-      CrashNews crashes,
+      CrashUpdate crashes,
       long crashesUpTo)
       implements PeerMessage {
     /** Replaces a missing list by an empty one. */
     public InstanceAccount {
       seen = seen == null ? List.of() : seen;
-      crashes = crashes == null ? CrashNews.NONE : crashes;
+      crashes = crashes == null ? CrashUpdate.NONE : crashes;
     }
   }
 
@@ -134,31 +134,32 @@
    * its start, and the crashes after the requested revision.
    */
   record FleetAccount(
-      Account others,
-      List<SeenSession> seen,
+      StateReport others,
+      List<SessionObservation> seen,
       long sessionsUpTo,
       boolean informed,
-      CrashNews crashes)
+      CrashUpdate crashes)
       implements PeerMessage {
     /** Replaces a missing list by an empty one. */
     public FleetAccount {
       seen = seen == null ? List.of() : seen;
-      crashes = crashes == null ? CrashNews.NONE : crashes;
+      crashes = crashes == null ? CrashUpdate.NONE : crashes;
     }
   }
 
   /** The aggregated report of a zone, sent by its collector to the collectors of the others. */
-  record ZoneAccount(String zone, Account account, List<SeenSession> seen, CrashNews crashes)
+  record ZoneAccount(
+      String zone, StateReport account, List<SessionObservation> seen, CrashUpdate crashes)
       implements PeerMessage {
     /** Replaces a missing list by an empty one. */
     public ZoneAccount {
       seen = seen == null ? List.of() : seen;
-      crashes = crashes == null ? CrashNews.NONE : crashes;
+      crashes = crashes == null ? CrashUpdate.NONE : crashes;
     }
   }
 
   /** Crashes that a collector pushes to its zone at once. */
-  record Crashes(@JsonProperty("news") CrashNews changes) implements PeerMessage {}
+  record Crashes(@JsonProperty("news") CrashUpdate changes) implements PeerMessage {}
 
   /** A message of an unknown type, from a later or an earlier version. */
   record Unknown() implements PeerMessage {}
--- a/org.oatlug/src/org/oatlug/internal/peer/TcpPeers.java
+++ b/org.oatlug/src/org/oatlug/internal/peer/TcpPeerNetwork.java
@@ -34,7 +34,7 @@
  * the shared key; a connection whose handshake times out is closed. There is one connection per
  * peer and direction, opened on first use. Used from one event loop.
  */
-public final class TcpPeers implements PeerNetwork {
+public final class TcpPeerNetwork implements PeerNetwork {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final int CONNECT_TIMEOUT_MILLIS = 1000;
   private static final long HANDSHAKE_TIMEOUT_MILLIS = 2000;
@@ -47,7 +47,7 @@
   private final NetClient client;
   private final Map<String, Future<PeerConnection>> connections = new HashMap<>();
 
-  private TcpPeers(
+  private TcpPeerNetwork(
       Vertx vertx, Settings.Peers settings, Supplier<Member> self, PeerHandler handler) {
     this.vertx = vertx;
     this.settings = settings;
@@ -63,9 +63,9 @@
    * @param self supplies the current record of this instance
    * @param handler handles the messages of peers
    */
-  public static TcpPeers create(
+  public static TcpPeerNetwork create(
       Vertx vertx, Settings.Peers settings, Supplier<Member> self, PeerHandler handler) {
-    return new TcpPeers(vertx, settings, self, handler);
+    return new TcpPeerNetwork(vertx, settings, self, handler);
   }
 
   /** Starts to accept connections of peers. */
--- a/org.oatlug/src/org/oatlug/internal/platform/HttpPlatform.java
+++ b/org.oatlug/src/org/oatlug/internal/platform/HttpPlatform.java
@@ -87,7 +87,7 @@
 
   @Override
   public Uni<StoreRevision> put(ObjectKey key, StoreRevision expected, JsonNode value) {
-    if (calls.isOutdated(expected)) {
+    if (calls.isOfEarlierEpoch(expected)) {
       return Uni.createFrom().failure(new ConflictException(key, expected, Optional.empty()));
     }
     Buffer body = Buffer.buffer(value.toString());
@@ -106,8 +106,9 @@
                 Optional<StoredObject> current = objectOf(key, response);
                 return Uni.createFrom().failure(new ConflictException(key, expected, current));
               }
-              if (calls.isOutdated(expected)) {
-                return Uni.createFrom().failure(calls.outdated("put " + key, expected.epoch()));
+              if (calls.isOfEarlierEpoch(expected)) {
+                return Uni.createFrom()
+                    .failure(calls.earlierEpochFailure("put " + key, expected.epoch()));
               }
               return Uni.createFrom().item(response.revision(response.body().path("version")));
             });
@@ -137,7 +138,7 @@
     return "/objects/" + key.kind() + "/" + key.name();
   }
 
-  private static Optional<StoredObject> objectOf(ObjectKey key, StoreCalls.Answer response) {
+  private static Optional<StoredObject> objectOf(ObjectKey key, StoreCalls.Response response) {
     JsonNode node = response.body();
     if (response.status() == NOT_FOUND || !node.has("version")) {
       return Optional.empty();
@@ -146,7 +147,7 @@
         StoredObject.of(key, response.revision(node.path("version")), node.get("value")));
   }
 
-  private static Batch batchOf(StoreCalls.Answer response) {
+  private static Batch batchOf(StoreCalls.Response response) {
     JsonNode node = response.body();
     List<StoredObject> objects = new ArrayList<>();
     for (JsonNode entry : node.path("objects")) {
--- a/org.oatlug/src/org/oatlug/internal/platform/CountedPlatform.java
+++ b/org.oatlug/src/org/oatlug/internal/platform/MeteredPlatform.java
@@ -23,18 +23,18 @@
  * the responses from before a restore of the store, {@code store.discarded}. Used from one event
  * loop.
  */
-public final class CountedPlatform implements Platform {
+public final class MeteredPlatform implements Platform {
   private final Platform delegate;
   private final Meters meters;
 
-  private CountedPlatform(Platform delegate, Meters meters) {
+  private MeteredPlatform(Platform delegate, Meters meters) {
     this.delegate = delegate;
     this.meters = meters;
   }
 
   /** Returns a platform that counts the calls to {@code delegate}. */
   public static Platform of(Platform delegate, Meters meters) {
-    return new CountedPlatform(delegate, meters);
+    return new MeteredPlatform(delegate, meters);
   }
 
   private <T> Uni<T> count(String operation, String kind, Uni<T> call) {
--- a/org.oatlug/src/org/oatlug/internal/platform/StoreCalls.java
+++ b/org.oatlug/src/org/oatlug/internal/platform/StoreCalls.java
@@ -53,7 +53,7 @@
    * @param body the content, an empty object if there is none
    * @param epoch the epoch of the store at the time of the response
    */
-  public record Answer(int status, JsonNode body, long epoch) {
+  public record Response(int status, JsonNode body, long epoch) {
     /** Returns the revision with this number in the epoch of the response. */
     public StoreRevision revision(JsonNode number) {
       return new StoreRevision(epoch, number.asLong());
@@ -66,7 +66,7 @@
   }
 
   /** Sends a call; fails as {@link PlatformCalls#call}, or if the response is discarded. */
-  public Uni<Answer> call(String operation, Supplier<Future<HttpResponse<Buffer>>> send) {
+  public Uni<Response> call(String operation, Supplier<Future<HttpResponse<Buffer>>> send) {
     return PlatformCalls.call(
             operation, acceptedStatuses, () -> send.get().onSuccess(this::recordEpoch))
         .onItem()
@@ -78,16 +78,17 @@
     epoch.recordResponse(response.getHeader(epochHeader));
   }
 
-  private Uni<Answer> requireCurrentEpoch(String operation, HttpResponse<Buffer> response) {
+  private Uni<Response> requireCurrentEpoch(String operation, HttpResponse<Buffer> response) {
     long newest = epoch.newest();
     long responseEpoch = epoch.recordResponse(response.getHeader(epochHeader)).orElse(newest);
     if (responseEpoch < newest) {
       logger.atInfo().atMostEvery(DISCARDED_LOG_INTERVAL_SECONDS, TimeUnit.SECONDS).log(
           "discarded the response to %s, epoch=%d newest=%d", operation, responseEpoch, newest);
-      return Uni.createFrom().failure(outdated(operation, responseEpoch));
+      return Uni.createFrom().failure(earlierEpochFailure(operation, responseEpoch));
     }
     return Uni.createFrom()
-        .item(new Answer(response.statusCode(), PlatformCalls.parseBody(response), responseEpoch));
+        .item(
+            new Response(response.statusCode(), PlatformCalls.parseBody(response), responseEpoch));
   }
 
   /**
@@ -96,12 +97,12 @@
    *
    * @param expected the revision that the write expects
    */
-  public boolean isOutdated(StoreRevision expected) {
+  public boolean isOfEarlierEpoch(StoreRevision expected) {
     return !expected.equals(StoreRevision.NONE) && expected.epoch() < epoch.newest();
   }
 
   /** Returns the failure of a call that was answered or prepared in {@code earlierEpoch}. */
-  public PlatformUnavailableException outdated(String operation, long earlierEpoch) {
+  public PlatformUnavailableException earlierEpochFailure(String operation, long earlierEpoch) {
     EarlierEpochException cause =
         new EarlierEpochException(operation, earlierEpoch, epoch.newest());
     return new PlatformUnavailableException(operation, cause);
--- a/org.oatlug/src/org/oatlug/internal/rollout/CandidateEvidence.java
+++ b/org.oatlug/src/org/oatlug/internal/rollout/CandidateEvidence.java
@@ -40,7 +40,7 @@
   }
 
   /** Returns whether the evidence suffices for this instance to halt its share of the roll-out. */
-  public boolean refutesAlone() {
-    return RolloutGuard.refutesAlone(logEvidence());
+  public boolean sufficesForLocalHalt() {
+    return RolloutGuard.sufficesForLocalHalt(logEvidence());
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/rollout/OrderAge.java
+++ b/org.oatlug/src/org/oatlug/internal/rollout/OrderAge.java
@@ -36,7 +36,7 @@
    *
    * @param creationObserved whether its roll-out had not started yet, so that the order is new
    */
-  public static OrderAge learned(Instant now, boolean creationObserved) {
+  public static OrderAge firstRead(Instant now, boolean creationObserved) {
     return new OrderAge(now, creationObserved);
   }
 
@@ -44,7 +44,7 @@
    * Applies the age of the order that a peer reported, in milliseconds; 0 if the peer does not know
    * it.
    */
-  public void heard(long millis, Instant now) {
+  public void applyReported(long millis, Instant now) {
     if (millis <= 0) {
       return;
     }
@@ -76,7 +76,7 @@
   }
 
   /** Returns the age to report to peers, in milliseconds; 0 if it is unknown. */
-  public long told(Instant now) {
+  public long reportedMillis(Instant now) {
     return known ? Math.max(0, Duration.between(orderedAt, now).toMillis()) : 0;
   }
 
--- a/org.oatlug/src/org/oatlug/internal/rollout/RolloutGuard.java
+++ b/org.oatlug/src/org/oatlug/internal/rollout/RolloutGuard.java
@@ -89,12 +89,12 @@
   }
 
   /** Returns whether the evidence of one instance suffices for it to halt its own share. */
-  public static boolean refutesAlone(double logEvidence) {
+  public static boolean sufficesForLocalHalt(double logEvidence) {
     return logEvidence >= -Math.log(ALPHA_ALONE);
   }
 
   /** Returns whether the summed evidence of all instances suffices to halt the roll-out. */
-  public static boolean refutesTogether(double logEvidence) {
+  public static boolean sufficesForGlobalHalt(double logEvidence) {
     return logEvidence >= -Math.log(ALPHA_TOGETHER);
   }
 
@@ -112,7 +112,7 @@
     }
     CandidateEvidence candidateEvidence = ownEvidence(candidate);
     candidateEvidence.add(measure, isCandidate, failed);
-    if (candidateEvidence.refutesAlone() && tables.haltedHere().add(candidate)) {
+    if (candidateEvidence.sufficesForLocalHalt() && tables.locallyHalted().add(candidate)) {
       meters.count("rollout.halted-here");
       logger.atWarning().log(
           "candidate %s is worse: this instance assigns it no sessions", candidate);
@@ -160,7 +160,7 @@
         peerEvidence.getOrDefault(rollout.candidate(), Map.of()).values()) {
       sum += peerLogEvidence;
     }
-    if (refutesTogether(sum)) {
+    if (sufficesForGlobalHalt(sum)) {
       halt(name);
     }
   }
@@ -212,7 +212,7 @@
   }
 
   private Optional<Rollout> rolloutOf(String name) {
-    return tables.catalogue().rolloutNamed(name);
+    return tables.catalogue().rolloutByName(name);
   }
 
   private CandidateEvidence ownEvidence(String candidate) {
--- a/org.oatlug/src/org/oatlug/internal/rollout/SequentialTest.java
+++ b/org.oatlug/src/org/oatlug/internal/rollout/SequentialTest.java
@@ -45,7 +45,7 @@
   /**
    * Discards the outcomes that are not paired yet, so that later ones are not compared with them.
    */
-  public void forgetUnpaired() {
+  public void discardUnpaired() {
     current.clear();
     candidate.clear();
   }
--- a/org.oatlug/src/org/oatlug/internal/rollout/VersionEvidence.java
+++ b/org.oatlug/src/org/oatlug/internal/rollout/VersionEvidence.java
@@ -73,7 +73,7 @@
   }
 
   /** Returns the same evidence without an age, for comparing whether anything else changed. */
-  public VersionEvidence ageless() {
+  public VersionEvidence withoutAge() {
     return withAge(0);
   }
 
--- a/org.oatlug/src/org/oatlug/internal/routing/PlacementCost.java
+++ b/org.oatlug/src/org/oatlug/internal/routing/PlacementCost.java
@@ -3,7 +3,7 @@
 
 package org.oatlug.internal.routing;
 
-import org.oatlug.internal.engine.HeadForecast;
+import org.oatlug.internal.engine.FirstTokenForecast;
 
 /**
  * Calculates the cost of sending a request to an upstream, in milliseconds of waiting.
@@ -56,8 +56,8 @@
   /**
    * State of an upstream that determines its cost for a request.
    *
-   * @param forecast the forecast of the time to first token; {@link HeadForecast#NONE} for a plain
-   *     service
+   * @param forecast the forecast of the time to first token; {@link FirstTokenForecast#NONE} for a
+   *     plain service
    * @param load the estimated number of requests at the upstream
    * @param slots the maximum number of concurrently running requests
    * @param otherZone whether it is in another availability zone
@@ -65,8 +65,8 @@
    * @param cold whether it has recently started and has a reduced capacity
    * @param ejected whether it is ejected after failures
    */
-  public record Place(
-      HeadForecast forecast,
+  public record UpstreamState(
+      FirstTokenForecast forecast,
       double load,
       int slots,
       boolean otherZone,
@@ -79,28 +79,28 @@
    *
    * @param bodyBytes the size of the request body, in bytes
    */
-  public static double of(Place place, int bodyBytes) {
-    HeadForecast forecast = place.forecast();
-    double cost = forecast.waitingMillis() + PREFILL_WEIGHT * forecast.readingMillis();
-    cost += FULL_LOAD_MILLIS * place.load() / place.slots();
-    cost += QUEUED_MILLIS * Math.max(0, place.load() + 1 - place.slots());
-    cost += FAILING_MILLIS * place.failureShare();
-    if (place.cold()) {
+  public static double of(UpstreamState state, int bodyBytes) {
+    FirstTokenForecast forecast = state.forecast();
+    double cost = forecast.waitingMillis() + PREFILL_WEIGHT * forecast.prefillMillis();
+    cost += FULL_LOAD_MILLIS * state.load() / state.slots();
+    cost += QUEUED_MILLIS * Math.max(0, state.load() + 1 - state.slots());
+    cost += FAILING_MILLIS * state.failureShare();
+    if (state.cold()) {
       cost += COLD_MILLIS;
     }
-    if (place.otherZone()) {
+    if (state.otherZone()) {
       cost += crossZoneCost(forecast, bodyBytes);
     }
-    return place.ejected() ? cost + EJECTED_MILLIS : cost;
+    return state.ejected() ? cost + EJECTED_MILLIS : cost;
   }
 
-  private static double crossZoneCost(HeadForecast forecast, int bodyBytes) {
-    boolean isEngine = !forecast.equals(HeadForecast.NONE);
-    return isEngine ? otherZoneOfEngine(bodyBytes) : OTHER_ZONE_MILLIS;
+  private static double crossZoneCost(FirstTokenForecast forecast, int bodyBytes) {
+    boolean isEngine = !forecast.equals(FirstTokenForecast.NONE);
+    return isEngine ? crossZoneMillis(bodyBytes) : OTHER_ZONE_MILLIS;
   }
 
   /** Returns the additional cost of sending a prompt to another zone, in milliseconds. */
-  public static double otherZoneOfEngine(int bodyBytes) {
+  public static double crossZoneMillis(int bodyBytes) {
     return OTHER_ZONE_MILLIS_PER_KILOBYTE * bodyBytes / KILOBYTE;
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/routing/Urgency.java
+++ b/org.oatlug/src/org/oatlug/internal/routing/RequestPriority.java
@@ -3,7 +3,7 @@
 
 package org.oatlug.internal.routing;
 
-import org.oatlug.internal.engine.HeadForecast;
+import org.oatlug.internal.engine.FirstTokenForecast;
 
 /**
  * Calculates the priority of a request at an engine; 0 is the most urgent. Stateless, thread-safe.
@@ -13,7 +13,7 @@
  * times as slow as that of the small one, the mean value of a response is 0.501 with this order and
  * 0.477 without it.
  */
-public final class Urgency {
+public final class RequestPriority {
   /** Lowest priority that engines distinguish. */
   private static final int LOWEST_PRIORITY = 9;
 
@@ -23,7 +23,7 @@
   /** Steps by which a long prompt is less urgent than short ones of the same priority. */
   private static final int LONG_PREFILL_STEPS = 3;
 
-  private Urgency() {}
+  private RequestPriority() {}
 
   /**
    * Returns the priority of a request.
@@ -32,8 +32,8 @@
    * @param forecast the forecast of its time to first token
    * @param goalMillis the time within which its response has its full value, in milliseconds
    */
-  public static int of(int configured, HeadForecast forecast, long goalMillis) {
-    boolean isShort = forecast.readingMillis() <= SHORT_PREFILL_SHARE_OF_GOAL * goalMillis;
+  public static int of(int configured, FirstTokenForecast forecast, long goalMillis) {
+    boolean isShort = forecast.prefillMillis() <= SHORT_PREFILL_SHARE_OF_GOAL * goalMillis;
     int priority = isShort ? configured : configured + LONG_PREFILL_STEPS;
     return Math.min(LOWEST_PRIORITY, priority);
   }
--- a/org.oatlug/src/org/oatlug/internal/routing/Router.java
+++ b/org.oatlug/src/org/oatlug/internal/routing/Router.java
@@ -231,7 +231,7 @@
     if (!isCandidate) {
       return Optional.empty();
     }
-    if (halted || tables.haltedHere().contains(candidate)) {
+    if (halted || tables.locallyHalted().contains(candidate)) {
       passedOver.add(new PassedOver(candidate, Reason.CANDIDATE_HALTED));
       return Optional.empty();
     }
@@ -305,7 +305,7 @@
     if (request.excluded().contains(row.name())) {
       return Optional.of(Reason.UPSTREAM_FAILED_BEFORE);
     }
-    if (row.isResting(now)) {
+    if (row.isBackingOff(now)) {
       return Optional.of(Reason.UPSTREAM_RESTS);
     }
     if (row.ejected(now)) {
--- a/org.oatlug/src/org/oatlug/internal/routing/ZoneReach.java
+++ b/org.oatlug/src/org/oatlug/internal/routing/ZoneReachability.java
@@ -18,7 +18,7 @@
  * #FAILURE_VALIDITY}, after which the next request tries the zone again; any response ends it.
  * Owned by one event loop, not thread-safe.
  */
-public final class ZoneReach {
+public final class ZoneReachability {
   /**
    * A single upstream may have crashed; several fail together only if their zone is unreachable.
    */
@@ -35,20 +35,20 @@
     private Instant lastFailure = Instant.EPOCH;
   }
 
-  private ZoneReach() {}
+  private ZoneReachability() {}
 
   /** Returns a tracker for which all zones are reachable. */
-  public static ZoneReach create() {
-    return new ZoneReach();
+  public static ZoneReachability create() {
+    return new ZoneReachability();
   }
 
   /** Records a response from the zone. */
-  public void reached(String zone) {
+  public void recordResponse(String zone) {
     failuresByZone.remove(zone);
   }
 
   /** Records that a connection to an upstream of the zone failed to open. */
-  public void notReached(String zone, String upstream, Instant now) {
+  public void recordConnectFailure(String zone, String upstream, Instant now) {
     FailedConnections failures =
         failuresByZone.computeIfAbsent(zone, unused -> new FailedConnections());
     boolean isExpired =
@@ -61,7 +61,7 @@
   }
 
   /** Returns whether the zone seems to be unreachable. */
-  public boolean isCutOff(String zone, Instant now) {
+  public boolean isUnreachable(String zone, Instant now) {
     FailedConnections failures = failuresByZone.get(zone);
     return failures != null
         && failures.upstreams.size() >= MINIMUM_UPSTREAMS
--- a/org.oatlug/src/org/oatlug/internal/table/Freshness.java
+++ b/org.oatlug/src/org/oatlug/internal/table/Freshness.java
@@ -34,7 +34,7 @@
   }
 
   /** Records a platform contact of this age, made by this instance or by a peer. */
-  public void learn(Duration age, Instant now) {
+  public void recordContact(Duration age, Instant now) {
     Instant contactTime = now.minus(age);
     if (contactTime.isAfter(lastContact)) {
       lastContact = contactTime;
@@ -55,7 +55,7 @@
   }
 
   /** Marks the configuration as unconfirmed after the process was paused. */
-  public void doubt() {
+  public void markUnconfirmed() {
     confirmed = false;
   }
 
--- a/org.oatlug/src/org/oatlug/internal/table/Tables.java
+++ b/org.oatlug/src/org/oatlug/internal/table/Tables.java
@@ -17,14 +17,14 @@
  * @param upstreams the observed state of each upstream
  * @param freshness the maximum age of the catalogue
  * @param ratings the rating counts of each cascade stage
- * @param haltedHere the candidates whose roll-out this instance halted on its own evidence
+ * @param locallyHalted the candidates whose roll-out this instance halted on its own evidence
  */
 public record Tables(
     Catalogue catalogue,
     UpstreamTable upstreams,
     Freshness freshness,
     RatingTable ratings,
-    Set<String> haltedHere) {
+    Set<String> locallyHalted) {
 
   /** Returns empty tables. */
   public static Tables create(Freshness freshness) {
--- a/org.oatlug/src/org/oatlug/internal/table/UpstreamRow.java
+++ b/org.oatlug/src/org/oatlug/internal/table/UpstreamRow.java
@@ -37,7 +37,7 @@
   private String process;
   private Instant coldUntil = Instant.EPOCH;
   private Instant backOffUntil = Instant.EPOCH;
-  private final Map<Long, Boolean> prefixes = BoundedMap.ofMost(MAXIMUM_PREFIXES);
+  private final Map<Long, Boolean> prefixes = BoundedMap.withMaximumSize(MAXIMUM_PREFIXES);
   private int inFlight;
   private int reportedRunning;
   private int reportedWaiting;
@@ -77,17 +77,17 @@
   }
 
   /** Extends the back-off until this time; an earlier time than the present one is ignored. */
-  public void restUntil(Instant end) {
+  public void backOffUntil(Instant end) {
     backOffUntil = end.isAfter(backOffUntil) ? end : backOffUntil;
   }
 
   /** Returns the remaining back-off, zero if the upstream accepts requests. */
-  public Duration restLeft(Instant now) {
+  public Duration remainingBackOff(Instant now) {
     return now.isBefore(backOffUntil) ? Duration.between(now, backOffUntil) : Duration.ZERO;
   }
 
   /** Returns whether the upstream requested a back-off that has not ended. */
-  public boolean isResting(Instant now) {
+  public boolean isBackingOff(Instant now) {
     return now.isBefore(backOffUntil);
   }
 
--- a/org.oatlug/src/org/oatlug/internal/util/BoundedMap.java
+++ b/org.oatlug/src/org/oatlug/internal/util/BoundedMap.java
@@ -25,7 +25,7 @@
   }
 
   /** Returns an empty map of at most {@code maximumSize} entries. */
-  public static <K, V> BoundedMap<K, V> ofMost(int maximumSize) {
+  public static <K, V> BoundedMap<K, V> withMaximumSize(int maximumSize) {
     return new BoundedMap<>(maximumSize);
   }
 
--- a/org.oatlug/src/org/oatlug/internal/util/PauseWatch.java
+++ b/org.oatlug/src/org/oatlug/internal/util/PauseDetector.java
@@ -13,22 +13,22 @@
  * <p>Invariant: the first call after a pause longer than the threshold reports it, whether it is
  * made by the tick or by a request. Owned by one event loop, not thread-safe.
  */
-public final class PauseWatch {
+public final class PauseDetector {
   private static final Duration PAUSE_THRESHOLD = Duration.ofSeconds(1);
 
   private final InstantSource clock;
   private final Runnable onPause;
   private Instant lastCheck;
 
-  private PauseWatch(InstantSource clock, Runnable onPause) {
+  private PauseDetector(InstantSource clock, Runnable onPause) {
     this.clock = clock;
     this.onPause = onPause;
     this.lastCheck = clock.instant();
   }
 
   /** Returns a detector that calls {@code onPause} after each pause. */
-  public static PauseWatch create(InstantSource clock, Runnable onPause) {
-    return new PauseWatch(clock, onPause);
+  public static PauseDetector create(InstantSource clock, Runnable onPause) {
+    return new PauseDetector(clock, onPause);
   }
 
   /** Checks the time since the last call; called on each tick and before each dispatch. */
