--- a/org.oatlug.entry/src/org/oatlug/entry/GatewayInstance.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/GatewayInstance.java
@@ -304,7 +304,7 @@
     context.runOnContext(
         unused -> {
           logger.atInfo().log(
-              "instance %s stops as planned, %d open", settings.name(), server.openRequests());
+              "instance %s shuts down gracefully, %d open", settings.name(), server.openRequests());
           stopping = true;
           membership.leave();
           long grace = settings.bounds().grace().minus(CUT_BEFORE_END).toMillis();
