--- a/org.oatlug.test/tst/org/oatlug/test/AnswerProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/AnswerProcessTest.java
@@ -228,7 +228,7 @@
 
   /** Returns invalid requests and the expected reason of each refusal. */
   @DataProvider
-  public Object[][] invalidRequestTable() {
+  public Object[][] badRequestTable() {
     String validBody = "{\"model\":\"small\",\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}";
     String key = "Bearer " + TestCluster.KEY;
     return new Object[][] {
--- a/org.oatlug.test/tst/org/oatlug/test/PublisherTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/PublisherTest.java
@@ -93,7 +93,7 @@
 
   /** Returns invalid objects and the text that the error message must contain. */
   @DataProvider
-  public Object[][] invalidObjectTable() {
+  public Object[][] badObjectTable() {
     return new Object[][] {
       {"policy", "{\"program\":\"model ==\"}", "policy/x.program: x:1:9"},
       {"policy", "{\"program\":\"model + 1\"}", "policy/x.program: x:1:7"},
