--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/Baselines.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/Baselines.java
@@ -6,7 +6,7 @@
 import java.util.Comparator;
 import org.oatlug.internal.routing.UpstreamChooser;
 
-/** Ways to choose an upstream that the real one is measured against. Stateless, thread-safe. */
+/** Baseline policies against which the upstream chooser is compared. Stateless, thread-safe. */
 final class Baselines {
   private Baselines() {}
 
@@ -16,19 +16,17 @@
   }
 
   static UpstreamChooser roundRobin() {
-    int[] next = new int[1];
+    int[] nextIndex = new int[1];
     return (candidates, request, table, random) ->
-        candidates.get(Math.floorMod(next[0]++, candidates.size()));
+        candidates.get(Math.floorMod(nextIndex[0]++, candidates.size()));
   }
 
-  /**
-   * Chooses the upstream with the fewest open attempts of this instance, by chance among equals.
-   */
+  /** Returns a chooser of the upstream with the fewest open attempts, ties broken at random. */
   static UpstreamChooser leastInFlight() {
     return (candidates, request, table, random) -> {
-      int start = random.nextInt(candidates.size());
+      int startIndex = random.nextInt(candidates.size());
       return java.util.stream.IntStream.range(0, candidates.size())
-          .mapToObj(index -> candidates.get((start + index) % candidates.size()))
+          .mapToObj(index -> candidates.get((startIndex + index) % candidates.size()))
           .min(Comparator.comparingInt(candidate -> candidate.row().inFlight()))
           .orElseThrow();
     };
--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/BenchPlot.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/BenchPlot.java
@@ -15,7 +15,7 @@
 import org.knowm.xchart.XYChart;
 import org.knowm.xchart.XYChartBuilder;
 
-/** Plots the time to the first token over the load, a line a policy. Stateless. */
+/** Plots the p95 time to first token against the load, with a line per policy. Stateless. */
 final class BenchPlot {
   private static final int WIDTH = 900;
   private static final int HEIGHT = 600;
@@ -32,17 +32,19 @@
             .yAxisTitle("milliseconds")
             .build();
     chart.getStyler().setYAxisLogarithmic(true);
-    Map<String, List<double[]>> lines = new LinkedHashMap<>();
+    Map<String, List<double[]>> pointsByPolicy = new LinkedHashMap<>();
     for (JsonNode row : rows) {
-      boolean wanted =
+      boolean plotted =
           row.path("group").asText().equals("choice")
               && row.path("workload").asText().equals("blue-mahoe");
-      if (wanted) {
+      if (plotted) {
         double[] point = {row.path("load").asDouble() * 100, row.path("p95").asDouble()};
-        lines.computeIfAbsent(row.path("policy").asText(), unused -> new ArrayList<>()).add(point);
+        pointsByPolicy
+            .computeIfAbsent(row.path("policy").asText(), unused -> new ArrayList<>())
+            .add(point);
       }
     }
-    lines.forEach(
+    pointsByPolicy.forEach(
         (name, points) ->
             chart.addSeries(
                 name,
--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/CapacitySlopes.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/CapacitySlopes.java
@@ -32,8 +32,8 @@
 import org.oatlug.platform.StoredObject;
 
 /**
- * The slopes of {@code docs/CAPACITY.md}: memory, processor time and bytes of the real code at
- * several sizes, with a straight line fitted. Used from one thread.
+ * Measures the slopes of {@code docs/CAPACITY.md}: memory, processor time and message sizes of the
+ * production code at several sizes, with a linear fit. Not thread-safe.
  */
 public final class CapacitySlopes {
   private static final int[] SIZES = {1000, 4000, 16000};
@@ -41,88 +41,88 @@
   private static final int REPEATS = 5;
   private static final Duration FLUSH = Duration.ofMillis(283);
   private static final int HEAD_BYTES = 64 * 1024;
-  private static final Map<Integer, Catalogue> CHANGED = new HashMap<>();
-  private static final long BORN = new VirtualTime().instant().toEpochMilli();
+  private static final Map<Integer, Catalogue> CATALOGUES_BY_SIZE = new HashMap<>();
+  private static final long CREATED_MILLIS = new VirtualTime().instant().toEpochMilli();
 
   private CapacitySlopes() {}
 
-  /** Measures and prints all slopes. */
+  /** Runs all measurements and prints the results and slopes. */
   public static void main(String[] arguments) throws JsonProcessingException {
     System.out.printf("%-44s %10s %12s %12s%n", "what", "size", "measured", "unit");
-    memory("catalogue: memory of objects", SIZES, CapacitySlopes::catalogue);
-    memory("ledger: memory of claims", SIZES, CapacitySlopes::claimed);
-    memory("ledger: memory of bills", SIZES, CapacitySlopes::billed);
-    memory("upstream table: memory of rows", SIZES, CapacitySlopes::upstreams);
-    memory("membership: memory of members", MEMBERS, CapacitySlopes::membership);
-    time("catalogue: time to merge", SIZES, size -> catalogue(size));
-    time("catalogue: time of one change", SIZES, CapacitySlopes::changeOne);
-    time("ledger: time of a batch of claims", SIZES, CapacitySlopes::claimed);
-    time("membership: time of ticks", MEMBERS, CapacitySlopes::tickMembership);
-    bytes();
+    measureMemory("catalogue: memory of objects", SIZES, CapacitySlopes::catalogue);
+    measureMemory("ledger: memory of claims", SIZES, CapacitySlopes::shardOfClaims);
+    measureMemory("ledger: memory of bills", SIZES, CapacitySlopes::shardOfBills);
+    measureMemory("upstream table: memory of rows", SIZES, CapacitySlopes::upstreamTable);
+    measureMemory("membership: memory of members", MEMBERS, CapacitySlopes::membership);
+    measureTime("catalogue: time to merge", SIZES, size -> catalogue(size));
+    measureTime("catalogue: time of one change", SIZES, CapacitySlopes::changeObject);
+    measureTime("ledger: time of a batch of claims", SIZES, CapacitySlopes::shardOfClaims);
+    measureTime("membership: time of ticks", MEMBERS, CapacitySlopes::tickMembership);
+    printMessageSizes();
   }
 
-  private static void memory(String what, int[] sizes, IntFunction<Object> make) {
+  private static void measureMemory(String label, int[] sizes, IntFunction<Object> factory) {
     double[] measured = new double[sizes.length];
     for (int index = 0; index < sizes.length; index++) {
-      Object[] kept = new Object[REPEATS];
-      long before = used();
+      Object[] retained = new Object[REPEATS];
+      long before = usedHeapBytes();
       for (int repeat = 0; repeat < REPEATS; repeat++) {
-        kept[repeat] = make.apply(sizes[index]);
+        retained[repeat] = factory.apply(sizes[index]);
       }
-      measured[index] = (double) (used() - before) / REPEATS;
-      System.out.printf("%-44s %10d %12.0f %12s%n", what, sizes[index], measured[index], "byte");
-      if (kept[0] == null) {
-        throw new IllegalStateException(what);
+      measured[index] = (double) (usedHeapBytes() - before) / REPEATS;
+      System.out.printf("%-44s %10d %12.0f %12s%n", label, sizes[index], measured[index], "byte");
+      if (retained[0] == null) {
+        throw new IllegalStateException(label);
       }
     }
-    slope(what, sizes, measured, "byte each");
+    printSlope(label, sizes, measured, "byte each");
   }
 
-  private static void time(String what, int[] sizes, IntConsumer run) {
+  private static void measureTime(String label, int[] sizes, IntConsumer operation) {
     double[] measured = new double[sizes.length];
-    for (int warm = 0; warm < REPEATS; warm++) {
-      run.accept(sizes[0]);
+    for (int warmUp = 0; warmUp < REPEATS; warmUp++) {
+      operation.accept(sizes[0]);
     }
     for (int index = 0; index < sizes.length; index++) {
-      double best = Double.POSITIVE_INFINITY;
+      double bestMicros = Double.POSITIVE_INFINITY;
       for (int repeat = 0; repeat < REPEATS; repeat++) {
         long start = System.nanoTime();
-        run.accept(sizes[index]);
-        best = Math.min(best, (System.nanoTime() - start) / 1e3);
+        operation.accept(sizes[index]);
+        bestMicros = Math.min(bestMicros, (System.nanoTime() - start) / 1e3);
       }
-      measured[index] = best;
-      System.out.printf("%-44s %10d %12.0f %12s%n", what, sizes[index], best, "us");
+      measured[index] = bestMicros;
+      System.out.printf("%-44s %10d %12.0f %12s%n", label, sizes[index], bestMicros, "us");
     }
-    slope(what, sizes, measured, "us each");
+    printSlope(label, sizes, measured, "us each");
   }
 
-  /** Prints the slope of the least squares line. */
-  private static void slope(String what, int[] sizes, double[] measured, String unit) {
+  /** Prints the slope of the least-squares line. */
+  private static void printSlope(String label, int[] sizes, double[] measured, String unit) {
     double meanSize = 0;
-    double mean = 0;
+    double meanMeasured = 0;
     for (int index = 0; index < sizes.length; index++) {
       meanSize += (double) sizes[index] / sizes.length;
-      mean += measured[index] / sizes.length;
+      meanMeasured += measured[index] / sizes.length;
     }
-    double above = 0;
-    double below = 0;
+    double productSum = 0;
+    double squareSum = 0;
     for (int index = 0; index < sizes.length; index++) {
-      above += (sizes[index] - meanSize) * (measured[index] - mean);
-      below += (sizes[index] - meanSize) * (sizes[index] - meanSize);
+      productSum += (sizes[index] - meanSize) * (measured[index] - meanMeasured);
+      squareSum += (sizes[index] - meanSize) * (sizes[index] - meanSize);
     }
-    System.out.printf("%-44s %10s %12.3f %12s%n%n", what, "slope", above / below, unit);
+    System.out.printf("%-44s %10s %12.3f %12s%n%n", label, "slope", productSum / squareSum, unit);
   }
 
-  private static long used() {
+  private static long usedHeapBytes() {
     Runtime runtime = Runtime.getRuntime();
-    long last = Long.MAX_VALUE;
-    long now = runtime.totalMemory() - runtime.freeMemory();
-    while (now < last) {
+    long previousBytes = Long.MAX_VALUE;
+    long currentBytes = runtime.totalMemory() - runtime.freeMemory();
+    while (currentBytes < previousBytes) {
       System.gc();
-      last = now;
-      now = runtime.totalMemory() - runtime.freeMemory();
+      previousBytes = currentBytes;
+      currentBytes = runtime.totalMemory() - runtime.freeMemory();
     }
-    return now;
+    return currentBytes;
   }
 
   private static StoredObject object(int number) {
@@ -144,15 +144,16 @@
     return catalogue;
   }
 
-  /** Changes one object of a catalogue; the making of the catalogue is left out of the time. */
-  private static void changeOne(int size) {
-    Catalogue catalogue = CHANGED.computeIfAbsent(size, CapacitySlopes::catalogue);
-    StoredObject old = object(0);
+  /** Changes an object of a cached catalogue, so that building the catalogue is not timed. */
+  private static void changeObject(int size) {
+    Catalogue catalogue = CATALOGUES_BY_SIZE.computeIfAbsent(size, CapacitySlopes::catalogue);
+    StoredObject current = object(0);
     long number = catalogue.revisionOf("upstream", "engine-0").number() + 1;
-    catalogue.merge(StoredObject.of(old.key(), StoreRevision.ofNumber(number), old.value()));
+    catalogue.merge(
+        StoredObject.of(current.key(), StoreRevision.ofNumber(number), current.value()));
   }
 
-  private static Object upstreams(int size) {
+  private static Object upstreamTable(int size) {
     UpstreamTable table = UpstreamTable.create();
     for (int number = 0; number < size; number++) {
       table.report("engine-" + number, 1, 0, false);
@@ -160,23 +161,23 @@
     return table;
   }
 
-  private static Object claimed(int size) {
-    return filled(size, CapacitySlopes::claim);
+  private static Object shardOfClaims(int size) {
+    return shardOf(size, CapacitySlopes::claim);
   }
 
-  private static Object billed(int size) {
-    return filled(size, number -> new LedgerEntry.Billed(bill(number)));
+  private static Object shardOfBills(int size) {
+    return shardOf(size, number -> new LedgerEntry.Billed(bill(number)));
   }
 
-  /** Returns a shard that took the entries in one batch. */
-  private static Shard filled(int size, IntFunction<LedgerEntry> make) {
+  /** Returns a shard to which the entries were submitted in a single batch. */
+  private static Shard shardOf(int size, IntFunction<LedgerEntry> factory) {
     VirtualTime time = new VirtualTime();
     Shard.Options options =
         new Shard.Options(Duration.ofHours(24), FLUSH, Duration.ofHours(1), HEAD_BYTES);
     Shard shard =
-        Shard.create("claims-0", new TakingPlatform(), time, options, new MetricRegistry());
+        Shard.create("claims-0", new DiscardingPlatform(), time, options, new MetricRegistry());
     for (int number = 0; number < size; number++) {
-      shard.submit(make.apply(number)).subscribe().with(done -> {}, failure -> {});
+      shard.submit(factory.apply(number)).subscribe().with(accepted -> {}, failure -> {});
     }
     time.runUntil(2 * FLUSH.toMillis());
     shard.tick();
@@ -187,13 +188,14 @@
     String key = "workspace-17\norder-of-the-yard-" + number;
     String attempt = "0c7a3c34-6a54-4a8c-9f0e-" + (100_000_000_000L + number);
     String fingerprint = "a".repeat(64);
-    return new LedgerEntry.Claim(key, attempt, fingerprint, "entry-1@1796213852744", BORN);
+    return new LedgerEntry.Claim(
+        key, attempt, fingerprint, "entry-1@1796213852744", CREATED_MILLIS);
   }
 
   private static Bill bill(int number) {
     String id = "0c7a3c34-6a54-4a8c-9f0e-" + (100_000_000_000L + number);
     String process = "entry-1@1796213852744";
-    return new Bill(id, "workspace-17", "small-v1", 300, 120, 420, true, process, BORN);
+    return new Bill(id, "workspace-17", "small-v1", 300, 120, 420, true, process, CREATED_MILLIS);
   }
 
   private static Member member(int number) {
@@ -210,21 +212,21 @@
 
   private static Membership membership(int size) {
     Membership membership = Membership.create(member(0), new VirtualTime(), new Random(1));
-    membership.connect((peer, message, patience) -> answer());
+    membership.connect((peer, message, timeout) -> acknowledgement());
     for (int number = 1; number < size; number++) {
       membership.merge(member(number));
     }
     return membership;
   }
 
-  private static Uni<PeerMessage> answer() {
+  private static Uni<PeerMessage> acknowledgement() {
     return Uni.createFrom().item(new PeerMessage.Ack(List.of()));
   }
 
   private static void tickMembership(int size) {
     VirtualTime time = new VirtualTime();
     Membership membership = Membership.create(member(0), time, new Random(1));
-    membership.connect((peer, message, patience) -> answer());
+    membership.connect((peer, message, timeout) -> acknowledgement());
     for (int number = 1; number < size; number++) {
       membership.merge(member(number));
     }
@@ -232,38 +234,39 @@
     time.runUntil(10_000);
   }
 
-  private static void bytes() throws JsonProcessingException {
-    print("ping without news", new PeerMessage.Ping(List.of(member(1))));
-    List<Member> news = new ArrayList<>();
+  private static void printMessageSizes() throws JsonProcessingException {
+    printMessageSize("ping without news", new PeerMessage.Ping(List.of(member(1))));
+    List<Member> members = new ArrayList<>();
     for (int number = 0; number < 8; number++) {
-      news.add(member(number));
+      members.add(member(number));
     }
-    print("ping with most news", new PeerMessage.Ping(news));
-    print("digest", new PeerMessage.Digest(Long.MAX_VALUE, 1000, true, true));
-    print("bucket digests", new PeerMessage.BucketDigests(new long[64], 1000));
-    print("one object", new PeerMessage.Objects(List.of(object(1)), 1000, true));
-    print("hold a bill", new PeerMessage.HoldBill(bill(1)));
-    print("drop a bill", new PeerMessage.DropBills(List.of(bill(1).id())));
-    print("submit a claim", new PeerMessage.Submit("claims-1", List.of(claim(1))));
-    print(
+    printMessageSize("ping with most news", new PeerMessage.Ping(members));
+    printMessageSize("digest", new PeerMessage.Digest(Long.MAX_VALUE, 1000, true, true));
+    printMessageSize("bucket digests", new PeerMessage.BucketDigests(new long[64], 1000));
+    printMessageSize("one object", new PeerMessage.Objects(List.of(object(1)), 1000, true));
+    printMessageSize("hold a bill", new PeerMessage.HoldBill(bill(1)));
+    printMessageSize("drop a bill", new PeerMessage.DropBills(List.of(bill(1).id())));
+    printMessageSize("submit a claim", new PeerMessage.Submit("claims-1", List.of(claim(1))));
+    printMessageSize(
         "submit a bill",
         new PeerMessage.Submit("claims-1", List.of(new LedgerEntry.Billed(bill(1)))));
-    print("guard evidence", new PeerMessage.GuardEvidence("small-v2", 1.5));
-    int claim = Json.STRICT.writeValueAsBytes(claim(1)).length;
-    int billed = Json.STRICT.writeValueAsBytes(new LedgerEntry.Billed(bill(1))).length;
-    System.out.printf("%-44s %10s %12d %12s%n", "claim at the platform", "", claim, "byte");
-    System.out.printf("%-44s %10s %12d %12s%n", "bill at the platform", "", billed, "byte");
+    printMessageSize("guard evidence", new PeerMessage.GuardEvidence("small-v2", 1.5));
+    int claimBytes = Json.STRICT.writeValueAsBytes(claim(1)).length;
+    int billBytes = Json.STRICT.writeValueAsBytes(new LedgerEntry.Billed(bill(1))).length;
+    System.out.printf("%-44s %10s %12d %12s%n", "claim at the platform", "", claimBytes, "byte");
+    System.out.printf("%-44s %10s %12d %12s%n", "bill at the platform", "", billBytes, "byte");
   }
 
-  private static void print(String what, PeerMessage message) throws JsonProcessingException {
+  private static void printMessageSize(String label, PeerMessage message)
+      throws JsonProcessingException {
     int length = Json.MESSAGE_PACK.writeValueAsBytes(message).length;
-    System.out.printf("%-44s %10s %12d %12s%n", "message: " + what, "", length, "byte");
+    System.out.printf("%-44s %10s %12d %12s%n", "message: " + label, "", length, "byte");
   }
 
-  /** A platform that takes every write and keeps none. */
-  private static final class TakingPlatform implements Platform {
+  /** Platform that accepts every write and stores nothing. */
+  private static final class DiscardingPlatform implements Platform {
     private final StoreEpoch epoch = StoreEpoch.create();
-    private long writes;
+    private long revision;
 
     @Override
     public StoreEpoch epoch() {
@@ -277,17 +280,17 @@
 
     @Override
     public Uni<Batch> list(List<String> kinds) {
-      return Uni.createFrom().item(new Batch(StoreRevision.ofNumber(writes), List.of()));
+      return Uni.createFrom().item(new Batch(StoreRevision.ofNumber(revision), List.of()));
     }
 
     @Override
     public Uni<StoreRevision> put(
         ObjectKey key, StoreRevision expected, com.fasterxml.jackson.databind.JsonNode value) {
-      return Uni.createFrom().item(StoreRevision.ofNumber(++writes));
+      return Uni.createFrom().item(StoreRevision.ofNumber(++revision));
     }
 
     @Override
-    public Uni<Batch> watch(List<String> kinds, StoreRevision revision, Duration wait) {
+    public Uni<Batch> watch(List<String> kinds, StoreRevision since, Duration wait) {
       return list(kinds);
     }
 
--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/EngineModel.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/EngineModel.java
@@ -10,22 +10,23 @@
 import java.util.function.Consumer;
 
 /**
- * A small model of an engine: slots that share its speed, a queue, prefill and decode times, and a
- * prefix cache of so many tokens that forgets the prefix that was not used for longest. Used from
- * one thread.
+ * Simulates an engine: slots that share its throughput, a queue, prefill and decode times, and a
+ * prefix cache with a capacity in tokens and eviction of the least recently used prefix. Not
+ * thread-safe.
  */
 final class EngineModel {
   static final double PREFILL_MILLIS_PER_TOKEN = 0.25;
   static final double DECODE_MILLIS = 12;
-  static final double SHARING = 0.04;
+  static final double SLOWDOWN_PER_REQUEST = 0.04;
 
-  private static final double PREFIX_SHARE = 0.8;
-  private static final int CACHE_TOKENS = 60_000;
+  private static final double PREFIX_FRACTION = 0.8;
+  private static final int CACHE_CAPACITY_TOKENS = 60_000;
 
   private final VirtualTime time;
   private final int slots;
-  private final Deque<Job> queue = new ArrayDeque<>();
-  private final LinkedHashMap<Long, Integer> prefixes = new LinkedHashMap<>(16, 0.75f, true);
+  private final Deque<Job> waitingJobs = new ArrayDeque<>();
+  private final LinkedHashMap<Long, Integer> cachedPrefixTokens =
+      new LinkedHashMap<>(16, 0.75f, true);
   private int cachedTokens;
   private int running;
   double slowFactor = 1;
@@ -37,13 +38,14 @@
     this.slots = slots;
   }
 
-  /** A request at an engine; {@code done} is told whether it was answered. */
+  /** A request submitted to an engine; {@code done} receives whether the request succeeded. */
   record Job(Workload.Request request, Runnable firstToken, Consumer<Boolean> done) {}
 
-  /** Returns the mean service time of a request on a full engine with a cold cache. */
-  static double serviceMillis(int promptTokens, int answerTokens, int sharing) {
-    double decode = answerTokens * DECODE_MILLIS * (1 + SHARING * sharing);
-    return promptTokens * PREFILL_MILLIS_PER_TOKEN + decode;
+  /** Returns the mean service time in milliseconds of a request on an engine with a cold cache. */
+  static double serviceMillis(int promptTokens, int answerTokens, int concurrentRequests) {
+    double decodeMillis =
+        answerTokens * DECODE_MILLIS * (1 + SLOWDOWN_PER_REQUEST * concurrentRequests);
+    return promptTokens * PREFILL_MILLIS_PER_TOKEN + decodeMillis;
   }
 
   int running() {
@@ -51,7 +53,7 @@
   }
 
   int waiting() {
-    return queue.size();
+    return waitingJobs.size();
   }
 
   void submit(Job job) {
@@ -59,38 +61,38 @@
       time.after(2, () -> job.done().accept(false));
       return;
     }
-    queue.add(job);
+    waitingJobs.add(job);
     startNext();
   }
 
   private void startNext() {
-    while (running < slots && !queue.isEmpty()) {
-      start(queue.poll());
+    while (running < slots && !waitingJobs.isEmpty()) {
+      start(waitingJobs.poll());
     }
   }
 
-  /** Returns whether the prefix is cached, and caches it, forgetting those not used for longest. */
-  private boolean useCache(Workload.Request request) {
-    int tokens = (int) (request.requestClass().promptTokens() * PREFIX_SHARE);
-    boolean cached = prefixes.put(request.prefix(), tokens) != null;
+  /** Returns whether the prefix was cached; caches it and evicts least recently used prefixes. */
+  private boolean lookUpOrCache(Workload.Request request) {
+    int tokens = (int) (request.requestClass().promptTokens() * PREFIX_FRACTION);
+    boolean cached = cachedPrefixTokens.put(request.prefix(), tokens) != null;
     cachedTokens += cached ? 0 : tokens;
-    Iterator<Integer> eldest = prefixes.values().iterator();
-    while (cachedTokens > CACHE_TOKENS) {
-      cachedTokens -= eldest.next();
-      eldest.remove();
+    Iterator<Integer> leastRecentlyUsed = cachedPrefixTokens.values().iterator();
+    while (cachedTokens > CACHE_CAPACITY_TOKENS) {
+      cachedTokens -= leastRecentlyUsed.next();
+      leastRecentlyUsed.remove();
     }
     return cached;
   }
 
   private void start(Job job) {
     running++;
-    boolean cached = useCache(job.request());
-    double prompt = job.request().promptTokens() * (cached ? 1 - PREFIX_SHARE : 1);
-    double prefill = prompt * PREFILL_MILLIS_PER_TOKEN * slowFactor;
-    double token = DECODE_MILLIS * (1 + SHARING * running) * slowFactor;
-    time.after(prefill + token, job.firstToken());
+    boolean cached = lookUpOrCache(job.request());
+    double uncachedTokens = job.request().promptTokens() * (cached ? 1 - PREFIX_FRACTION : 1);
+    double prefillMillis = uncachedTokens * PREFILL_MILLIS_PER_TOKEN * slowFactor;
+    double tokenMillis = DECODE_MILLIS * (1 + SLOWDOWN_PER_REQUEST * running) * slowFactor;
+    time.after(prefillMillis + tokenMillis, job.firstToken());
     time.after(
-        prefill + token * job.request().answerTokens(),
+        prefillMillis + tokenMillis * job.request().answerTokens(),
         () -> {
           running--;
           job.done().accept(true);
--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/LatencyBench.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/LatencyBench.java
@@ -14,16 +14,16 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The latency that an entry instance adds to a streamed request, against the engine directly, in
- * turn. Needs {@code ./demo --keep}. The requests go round the instances, so that none of them uses
- * up its share of the workspace's rate.
+ * Measures the latency that an entry instance adds to a streamed request, by sending each request
+ * through an instance and then directly to the engine. Requires a running {@code ./demo --keep}.
+ * Requests rotate over the instances so that none exhausts its share of the workspace's rate limit.
  */
 public final class LatencyBench {
-  private static final int REQUESTS = 400;
-  private static final int WARM_UP = 100;
-  private static final int FIRST_ENTRY = 7101;
-  private static final int ENTRIES = 7;
-  private static final int ENGINE = 7201;
+  private static final int MEASURED_REQUESTS = 400;
+  private static final int WARM_UP_REQUESTS = 100;
+  private static final int FIRST_ENTRY_PORT = 7101;
+  private static final int ENTRY_COUNT = 7;
+  private static final int ENGINE_PORT = 7201;
   private static final String BODY =
       "{\"model\":\"%s\",\"stream\":true,\"max_tokens\":4,"
           + "\"messages\":[{\"role\":\"user\",\"content\":\"which cleat\"}]}";
@@ -33,27 +33,28 @@
 
   private LatencyBench() {}
 
-  /** Runs the measurement. */
+  /** Runs the benchmark and prints the percentiles of the time to the first byte. */
   public static void main(String[] arguments) throws IOException, InterruptedException {
     LatencyBench bench = new LatencyBench();
-    Histogram routed = new Histogram(3);
-    Histogram direct = new Histogram(3);
-    for (int number = 0; number < WARM_UP + REQUESTS; number++) {
-      long throughEntry = bench.firstByteMicros(FIRST_ENTRY + number % ENTRIES, "small");
-      long atEngine = bench.firstByteMicros(ENGINE, "small-v1");
-      if (number >= WARM_UP) {
-        routed.recordValue(throughEntry);
-        direct.recordValue(atEngine);
+    Histogram routedLatencies = new Histogram(3);
+    Histogram directLatencies = new Histogram(3);
+    for (int number = 0; number < WARM_UP_REQUESTS + MEASURED_REQUESTS; number++) {
+      long routedMicros = bench.firstByteMicros(FIRST_ENTRY_PORT + number % ENTRY_COUNT, "small");
+      long directMicros = bench.firstByteMicros(ENGINE_PORT, "small-v1");
+      if (number >= WARM_UP_REQUESTS) {
+        routedLatencies.recordValue(routedMicros);
+        directLatencies.recordValue(directMicros);
       }
     }
     System.out.printf("%-28s %10s %10s%n", "first byte, microseconds", "p50", "p95");
-    print("engine directly", direct);
-    print("through an entry instance", routed);
+    print("engine directly", directLatencies);
+    print("through an entry instance", routedLatencies);
   }
 
-  private static void print(String what, Histogram times) {
+  private static void print(String label, Histogram latencies) {
     System.out.printf(
-        "%-28s %10d %10d%n", what, times.getValueAtPercentile(50), times.getValueAtPercentile(95));
+        "%-28s %10d %10d%n",
+        label, latencies.getValueAtPercentile(50), latencies.getValueAtPercentile(95));
   }
 
   private long firstByteMicros(int port, String model) throws IOException, InterruptedException {
@@ -66,9 +67,9 @@
     HttpResponse<InputStream> response =
         client.send(request, HttpResponse.BodyHandlers.ofInputStream());
     try (InputStream body = response.body()) {
-      int first = body.read();
+      int firstByte = body.read();
       final long micros = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - start);
-      if (first < 0 || response.statusCode() != 200) {
+      if (firstByte < 0 || response.statusCode() != 200) {
         throw new IOException("status " + response.statusCode());
       }
       body.transferTo(OutputStream.nullOutputStream());
--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/RateBench.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/RateBench.java
@@ -11,108 +11,121 @@
 import java.util.function.Consumer;
 
 /**
- * Compares ways to limit what upstreams get from all instances together: {@code ./bench rates}.
+ * Compares policies that limit the total request rate of all instances to an upstream. Run with
+ * {@code ./bench rates}.
  *
- * <p>For each way, size and trouble: the most requests in the span for which the limit holds, the
- * share of the limit that was used, and the time to the first request. Virtual time, fixed seeds.
- * Stateless.
+ * <p>Prints for each policy, fleet size and disturbance the maximum number of requests in the span
+ * to which the limit applies, the used share of the limit, and the time to the first request. Uses
+ * virtual time and fixed seeds. Stateless.
  */
 public final class RateBench {
-  private static final double COLD_BOUND = 20;
-  private static final double[] ADVERTISED = {0.5, 1.1, 20};
+  private static final double COLD_REQUESTS_PER_SECOND = 20;
+  private static final double[] ADVERTISED_RATES = {0.5, 1.1, 20};
   private static final int SEEDS = 5;
   private static final int UPSTREAMS = 8;
-  private static final Duration MEETING = Duration.ofSeconds(12);
-  private static final Duration COLD = Duration.ofSeconds(3);
-  private static final Duration LIMITED = Duration.ofSeconds(12);
-  private static final List<int[]> SIZES =
+  private static final Duration DISCOVERY_TIME = Duration.ofSeconds(12);
+  private static final Duration COLD_PERIOD = Duration.ofSeconds(3);
+  private static final Duration LIMITED_PERIOD = Duration.ofSeconds(12);
+  private static final List<int[]> ZONES_AND_INSTANCES_PER_ZONE =
       List.of(new int[] {3, 2}, new int[] {3, 20}, new int[] {5, 19});
 
   private RateBench() {}
 
-  /** Makes a fleet of a number of zones, of instances in each, and with a seed. */
+  /** Creates a fleet with the given number of zones and of instances per zone. */
   @FunctionalInterface
-  private interface Fleets {
-    RateFleet of(RateFleet.Way way, int zones, int perZone, long seed);
+  private interface FleetFactory {
+    RateFleet create(RateFleet.SendPolicy policy, int zones, int perZone, long seed);
   }
 
-  private static Map<String, RateFleet.Way> ways(RateFleet.Way ranked) {
-    Map<String, RateFleet.Way> ways = new LinkedHashMap<>();
-    ways.put("few by rank", ranked);
-    ways.put("share by number", RateFleet.SHARE);
-    ways.put("first seen", RateFleet.FIRST);
-    return ways;
+  private static Map<String, RateFleet.SendPolicy> policies(RateFleet.SendPolicy rankedPolicy) {
+    Map<String, RateFleet.SendPolicy> policies = new LinkedHashMap<>();
+    policies.put("few by rank", rankedPolicy);
+    policies.put("share by number", RateFleet.EQUAL_SHARE);
+    policies.put("first seen", RateFleet.FIRST_RANKED);
+    return policies;
   }
 
-  private static Map<String, Consumer<RateFleet>> troubles() {
-    Map<String, Consumer<RateFleet>> troubles = new LinkedHashMap<>();
-    troubles.put("none", fleet -> {});
-    troubles.put(
+  private static Map<String, Consumer<RateFleet>> disturbances() {
+    Map<String, Consumer<RateFleet>> disturbances = new LinkedHashMap<>();
+    disturbances.put("none", fleet -> {});
+    disturbances.put(
         "cut in 8",
         fleet -> {
           fleet.cut(8);
-          fleet.run(MEETING);
+          fleet.run(DISCOVERY_TIME);
         });
-    troubles.put("half just started", fleet -> fleet.restart(0.5));
-    troubles.put("twice as many", fleet -> fleet.add(60));
-    troubles.put("all just started", fleet -> fleet.restart(1));
-    return troubles;
+    disturbances.put("half just started", fleet -> fleet.restart(0.5));
+    disturbances.put("twice as many", fleet -> fleet.add(60));
+    disturbances.put("all just started", fleet -> fleet.restart(1));
+    return disturbances;
   }
 
-  /** Prints the tables. */
+  /** Runs all simulations and prints a table per limit. */
   public static void main(String[] arguments) {
     print(
-        "cold upstreams, " + COLD_BOUND + " requests in any second",
-        COLD,
-        ways(RateFleet.RANKED_COLD),
-        (way, zones, perZone, seed) -> RateFleet.ofCold(way, COLD_BOUND, zones, perZone, seed));
-    for (double rate : ADVERTISED) {
+        "cold upstreams, " + COLD_REQUESTS_PER_SECOND + " requests in any second",
+        COLD_PERIOD,
+        policies(RateFleet.RANKED_COLD),
+        (policy, zones, perZone, seed) ->
+            RateFleet.ofCold(policy, COLD_REQUESTS_PER_SECOND, zones, perZone, seed));
+    for (double rate : ADVERTISED_RATES) {
       print(
           "limit of " + rate + " a second, " + (6 * rate + 5) + " in 4 s",
-          LIMITED,
-          ways(RateFleet.RANKED_LIMITED),
-          (way, zones, perZone, seed) -> RateFleet.ofLimited(way, rate, zones, perZone, seed));
+          LIMITED_PERIOD,
+          policies(RateFleet.RANKED_LIMITED),
+          (policy, zones, perZone, seed) ->
+              RateFleet.ofLimited(policy, rate, zones, perZone, seed));
     }
   }
 
   private static void print(
-      String title, Duration span, Map<String, RateFleet.Way> ways, Fleets fleets) {
+      String title,
+      Duration span,
+      Map<String, RateFleet.SendPolicy> policies,
+      FleetFactory factory) {
     System.out.printf("%n%s, %d seeds%n%n", title, SEEDS);
     System.out.println("| Instances | Trouble | Way | Most in the span | Used share | First, ms |");
     System.out.println("|---|---|---|---|---|---|");
-    for (int[] size : SIZES) {
-      troubles()
+    for (int[] size : ZONES_AND_INSTANCES_PER_ZONE) {
+      disturbances()
           .forEach(
-              (name, trouble) ->
-                  ways.forEach(
-                      (way, gate) -> {
-                        List<RateFleet> played = new ArrayList<>();
+              (disturbanceName, disturbance) ->
+                  policies.forEach(
+                      (policyName, policy) -> {
+                        List<RateFleet> finishedFleets = new ArrayList<>();
                         for (int seed = 1; seed <= SEEDS; seed++) {
-                          RateFleet fleet = fleets.of(gate, size[0], size[1], seed);
-                          play(fleet, trouble, span);
-                          played.add(fleet);
+                          RateFleet fleet = factory.create(policy, size[0], size[1], seed);
+                          simulate(fleet, disturbance, span);
+                          finishedFleets.add(fleet);
                         }
-                        printRow(size[0] * size[1] + " | " + name + " | " + way, played);
+                        printRow(
+                            size[0] * size[1] + " | " + disturbanceName + " | " + policyName,
+                            finishedFleets);
                       }));
     }
   }
 
-  private static void play(RateFleet fleet, Consumer<RateFleet> trouble, Duration span) {
-    fleet.run(MEETING);
-    trouble.accept(fleet);
+  private static void simulate(RateFleet fleet, Consumer<RateFleet> disturbance, Duration span) {
+    fleet.run(DISCOVERY_TIME);
+    disturbance.accept(fleet);
     fleet.limit(UPSTREAMS);
     fleet.run(span);
   }
 
-  private static void printRow(String row, List<RateFleet> played) {
-    int worst = played.stream().mapToInt(RateFleet::worst).max().orElse(0);
-    double used = played.stream().mapToDouble(RateFleet::usedShare).average().orElse(0);
-    long first =
-        played.stream()
+  private static void printRow(String rowStart, List<RateFleet> finishedFleets) {
+    int maximumInSpan = finishedFleets.stream().mapToInt(RateFleet::worst).max().orElse(0);
+    double meanUsedShare =
+        finishedFleets.stream().mapToDouble(RateFleet::usedShare).average().orElse(0);
+    long latestFirstMillis =
+        finishedFleets.stream()
             .mapToLong(fleet -> fleet.firstMillis().orElse(Long.MAX_VALUE))
             .max()
             .orElse(Long.MAX_VALUE);
     System.out.printf(
-        "| %s | %d | %.2f | %s |%n", row, worst, used, first == Long.MAX_VALUE ? "none" : first);
+        "| %s | %d | %.2f | %s |%n",
+        rowStart,
+        maximumInSpan,
+        meanUsedShare,
+        latestFirstMillis == Long.MAX_VALUE ? "none" : latestFirstMillis);
   }
 }
--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/RateFleet.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/RateFleet.java
@@ -28,58 +28,59 @@
 import org.oatlug.internal.util.TickSystem;
 
 /**
- * Instances that all want to send to the upstreams of one availability zone whose rate is limited,
- * in steps of virtual time, each with what it believes of the others.
+ * Simulates instances that send continuously to rate-limited upstreams of one availability zone, in
+ * steps of virtual time, each with its own view of the membership.
  *
- * <p>Who can reach whom is set by islands; an instance learns of another up to {@link #MOST_LAG}
- * late, and takes it for lost as late. Used from one thread.
+ * <p>Instances reach each other only within a network partition. An instance detects that a peer
+ * became reachable or unreachable after a delay of less than {@link #MAXIMUM_DETECTION_DELAY}. Not
+ * thread-safe.
  */
 public final class RateFleet {
-  /** How late an instance learns that another came or went. */
-  private static final Duration MOST_LAG = Duration.ofSeconds(4);
+  /** The bound on the delay with which an instance detects a membership change. */
+  private static final Duration MAXIMUM_DETECTION_DELAY = Duration.ofSeconds(4);
 
-  private static final Duration USUAL_STEP = Duration.ofMillis(20);
+  private static final Duration DEFAULT_STEP = Duration.ofMillis(20);
   private static final Duration SECOND = Duration.ofSeconds(1);
 
-  /** The span for which an advertised limit is measured. */
+  /** The sliding window in which requests are counted against an advertised limit. */
   private static final Duration ADVERTISED_SPAN = Duration.ofSeconds(4);
 
   private static final String LIMITED_ZONE = "zone-0";
 
-  private final Way way;
+  private final SendPolicy policy;
   private final Duration span;
   private double rate;
-  private Duration step = USUAL_STEP;
+  private Duration step = DEFAULT_STEP;
   private final int zones;
   private final Random random;
   private final Map<String, Instance> instances = new TreeMap<>();
-  private final Map<String, Deque<Instant>> sent = new HashMap<>();
+  private final Map<String, Deque<Instant>> recentSends = new HashMap<>();
   private final List<String> upstreams = new ArrayList<>();
   private Instant now = Instant.parse("2026-12-03T12:00:00Z");
   private Instant limitedSince = now;
   private OptionalLong firstMillis = OptionalLong.empty();
-  private long all;
-  private int worst;
+  private long totalSent;
+  private int maximumInSpan;
 
-  private RateFleet(Way way, double rate, Duration span, int zones, long seed) {
-    this.way = way;
+  private RateFleet(SendPolicy policy, double rate, Duration span, int zones, long seed) {
+    this.policy = policy;
     this.rate = rate;
     this.span = span;
     this.zones = zones;
     this.random = new Random(seed);
   }
 
-  /** A way to bound what an instance sends. */
+  /** Policy that limits the requests of an instance. */
   @FunctionalInterface
-  public interface Way {
-    /** Returns the gate of an instance that starts now. */
-    Gate gateOf(View view);
+  public interface SendPolicy {
+    /** Creates the gate of an instance that starts now. */
+    SendGate createGate(InstanceView view);
   }
 
-  /** Bounds what one instance sends. */
+  /** Limits the requests of a single instance. */
   @FunctionalInterface
-  public interface Gate extends TickSystem {
-    /** Lets a request to an upstream with this rate limit through, or not. */
+  public interface SendGate extends TickSystem {
+    /** Returns whether a request is allowed, and counts it if so; the rate is per second. */
     boolean send(String upstream, double rate, Instant now);
 
     @Override
@@ -87,38 +88,40 @@
   }
 
   /**
-   * What an instance knows.
+   * Local state that is available to a policy.
    *
-   * @param name its name
-   * @param live whom it takes to live, itself included
-   * @param clock the time
+   * @param name the name of the instance
+   * @param live supplies the members that the instance considers alive, including itself
+   * @param clock the virtual clock
    */
-  public record View(String name, Supplier<List<Member>> live, InstantSource clock) {}
+  public record InstanceView(String name, Supplier<List<Member>> live, InstantSource clock) {}
 
-  /** A few instances of the zone send, by rank: what the product does for cold upstreams. */
-  public static final Way RANKED_COLD =
+  /** The production policy for cold upstreams: a few instances of the zone send, by rank. */
+  public static final SendPolicy RANKED_COLD =
       ranked(
           senders -> senders.senders().ofCold(),
           (upstream, rate) -> Target.cold(upstream, LIMITED_ZONE, rate));
 
-  /** A few live instances of the zone send, by rank: what the product does for a limit. */
-  public static final Way RANKED_LIMITED =
+  /**
+   * The production policy for advertised limits: a few live instances of the zone send, by rank.
+   */
+  public static final SendPolicy RANKED_LIMITED =
       ranked(
           senders -> senders.senders().ofLimited(),
           (upstream, rate) ->
               Target.advertised(upstream, LIMITED_ZONE, new AdvertisedLimit(rate, 0)));
 
-  private static Way ranked(
+  private static SendPolicy ranked(
       Function<RankedSenders, SenderSelection> selection,
-      BiFunction<String, Double, Target> targets) {
+      BiFunction<String, Double, Target> targetFactory) {
     return view -> {
       RankedSenders senders =
           RankedSenders.create(view.name(), view.live(), () -> true, view.clock());
       SharedRateLimit limit = SharedRateLimit.create(selection.apply(senders));
-      return new Gate() {
+      return new SendGate() {
         @Override
         public boolean send(String upstream, double rate, Instant now) {
-          Target target = targets.apply(upstream, rate);
+          Target target = targetFactory.apply(upstream, rate);
           boolean allowed = limit.allows(target, now);
           if (allowed) {
             limit.acquire(target).written(now);
@@ -134,146 +137,152 @@
     };
   }
 
-  /** Each instance sends its share, by the number of those it ever saw. */
-  public static final Way SHARE =
+  /** Each instance sends an equal share, by the number of instances it has ever seen. */
+  public static final SendPolicy EQUAL_SHARE =
       view -> {
-        Map<String, Boolean> known = new HashMap<>();
-        Map<String, Instant> next = new HashMap<>();
+        Map<String, Boolean> everSeen = new HashMap<>();
+        Map<String, Instant> nextSends = new HashMap<>();
         return (upstream, rate, now) -> {
-          view.live().get().forEach(member -> known.put(member.name(), true));
-          Duration pause = Duration.ofMillis((long) (1000 * known.size() / rate));
-          // The allowance starts empty.
-          Instant due = next.computeIfAbsent(upstream, unused -> now.plus(pause));
-          if (now.isBefore(due)) {
+          view.live().get().forEach(present -> everSeen.put(present.name(), true));
+          Duration interval = Duration.ofMillis((long) (1000 * everSeen.size() / rate));
+          // The first request waits a full interval.
+          Instant nextSend = nextSends.computeIfAbsent(upstream, unused -> now.plus(interval));
+          if (now.isBefore(nextSend)) {
             return false;
           }
-          next.put(upstream, now.plus(pause));
+          nextSends.put(upstream, now.plus(interval));
           return true;
         };
       };
 
-  /** The first instance by rank sends half of what is borne, among those it sees now. */
-  public static final Way FIRST =
+  /** The first instance by rank, among those currently seen, sends at half the limit. */
+  public static final SendPolicy FIRST_RANKED =
       view -> {
-        Map<String, Instant> next = new HashMap<>();
+        Map<String, Instant> nextSends = new HashMap<>();
         return (upstream, rate, now) -> {
           List<String> live = view.live().get().stream().map(Member::name).toList();
-          boolean first = Hashes.rendezvous(upstream, live).get(0).equals(view.name());
-          if (!first || now.isBefore(next.getOrDefault(upstream, Instant.EPOCH))) {
+          boolean isFirst = Hashes.rendezvous(upstream, live).get(0).equals(view.name());
+          if (!isFirst || now.isBefore(nextSends.getOrDefault(upstream, Instant.EPOCH))) {
             return false;
           }
-          next.put(upstream, now.plus(Duration.ofMillis((long) (2000 / rate))));
+          nextSends.put(upstream, now.plus(Duration.ofMillis((long) (2000 / rate))));
           return true;
         };
       };
 
-  /** One instance. */
+  /** A simulated instance and its view of the membership. */
   private final class Instance {
-    private final Member self;
-    private final Map<String, Instant> changedAt = new HashMap<>();
-    private final Map<String, Boolean> seen = new HashMap<>();
-    private final Duration lag;
-    private int island;
+    private final Member member;
+    private final Map<String, Instant> differsSince = new HashMap<>();
+    private final Map<String, Boolean> believedAlive = new HashMap<>();
+    private final Duration detectionDelay;
+    private int partition;
     private boolean frozen;
-    private Instant cutUntil = Instant.EPOCH;
-    private Gate gate;
+    private Instant partitionedUntil = Instant.EPOCH;
+    private SendGate gate;
 
-    Instance(Member self) {
-      this.self = self;
-      this.lag = Duration.ofMillis(random.nextInt((int) MOST_LAG.toMillis()));
+    Instance(Member member) {
+      this.member = member;
+      this.detectionDelay =
+          Duration.ofMillis(random.nextInt((int) MAXIMUM_DETECTION_DELAY.toMillis()));
       restart();
     }
 
     void restart() {
-      seen.clear();
-      changedAt.clear();
-      seen.put(self.name(), true);
-      gate = way.gateOf(new View(self.name(), this::live, () -> now));
+      believedAlive.clear();
+      differsSince.clear();
+      believedAlive.put(member.name(), true);
+      gate = policy.createGate(new InstanceView(member.name(), this::live, () -> now));
     }
 
     private List<Member> live() {
-      return seen.entrySet().stream()
+      return believedAlive.entrySet().stream()
           .filter(Map.Entry::getValue)
-          .map(entry -> instances.get(entry.getKey()).self)
+          .map(entry -> instances.get(entry.getKey()).member)
           .toList();
     }
 
-    /** Learns of others some time after the truth changed. */
-    void look() {
-      for (Instance other : instances.values()) {
-        String name = other.self.name();
-        boolean truth = other.island == island;
-        if (seen.getOrDefault(name, false) == truth) {
-          changedAt.remove(name);
-        } else if (!now.isBefore(changedAt.computeIfAbsent(name, unused -> now).plus(lag))) {
-          seen.put(name, truth);
+    /** Updates the view of each peer once its actual state has differed for the delay. */
+    void updateMembership() {
+      for (Instance peer : instances.values()) {
+        String name = peer.member.name();
+        boolean reachable = peer.partition == partition;
+        if (believedAlive.getOrDefault(name, false) == reachable) {
+          differsSince.remove(name);
+        } else if (!now.isBefore(
+            differsSince.computeIfAbsent(name, unused -> now).plus(detectionDelay))) {
+          believedAlive.put(name, reachable);
         }
       }
     }
 
     void step() {
-      look();
+      updateMembership();
       gate.tick();
       for (String upstream : upstreams) {
         if (reachesZone() && gate.send(upstream, rate, now)) {
-          noteSent(upstream, isExcused());
+          recordSent(upstream, isExempt());
         }
       }
     }
 
-    /** Whoever is cut off from all instances of a zone is cut off from its upstreams. */
+    /** Returns whether any instance of the zone is reachable, and with it the zone's upstreams. */
     private boolean reachesZone() {
       return instances.values().stream()
-          .anyMatch(one -> one.self.zone().equals(LIMITED_ZONE) && one.island == island);
+          .anyMatch(
+              instance ->
+                  instance.member.zone().equals(LIMITED_ZONE) && instance.partition == partition);
     }
 
-    /** The rule for an advertised limit excuses who is cut off, and those who were of late. */
-    private boolean isExcused() {
-      return !span.equals(SECOND) && (island != 0 || now.isBefore(cutUntil));
+    /** Returns whether an advertised limit exempts this instance, as it is or was just cut off. */
+    private boolean isExempt() {
+      return !span.equals(SECOND) && (partition != 0 || now.isBefore(partitionedUntil));
     }
   }
 
-  private void noteSent(String upstream, boolean excused) {
-    all++;
-    if (excused) {
+  private void recordSent(String upstream, boolean exempt) {
+    totalSent++;
+    if (exempt) {
       return;
     }
-    Deque<Instant> times = sent.computeIfAbsent(upstream, unused -> new ArrayDeque<>());
-    times.add(now);
-    while (!times.peek().isAfter(now.minus(span))) {
-      times.remove();
+    Deque<Instant> sendTimes = recentSends.computeIfAbsent(upstream, unused -> new ArrayDeque<>());
+    sendTimes.add(now);
+    while (!sendTimes.peek().isAfter(now.minus(span))) {
+      sendTimes.remove();
     }
-    worst = Math.max(worst, times.size());
+    maximumInSpan = Math.max(maximumInSpan, sendTimes.size());
     if (firstMillis.isEmpty()) {
       firstMillis = OptionalLong.of(Duration.between(limitedSince, now).toMillis());
     }
   }
 
-  /** Returns a fleet whose upstreams turn cold, of instances that do not know each other yet. */
-  public static RateFleet ofCold(Way way, double bound, int zones, int perZone, long seed) {
-    RateFleet fleet = new RateFleet(way, bound, SECOND, zones, seed);
+  /** Returns a fleet with cold upstreams whose instances have not discovered each other yet. */
+  public static RateFleet ofCold(
+      SendPolicy policy, double bound, int zones, int perZone, long seed) {
+    RateFleet fleet = new RateFleet(policy, bound, SECOND, zones, seed);
     fleet.add(zones * perZone);
     return fleet;
   }
 
-  /** Returns a fleet whose upstreams advertise a limit, of instances that know nobody yet. */
-  public static RateFleet ofLimited(Way way, double rate, int zones, int perZone, long seed) {
-    RateFleet fleet = new RateFleet(way, rate, ADVERTISED_SPAN, zones, seed);
+  /** Returns a fleet with advertised limits whose instances have not discovered each other yet. */
+  public static RateFleet ofLimited(
+      SendPolicy policy, double rate, int zones, int perZone, long seed) {
+    RateFleet fleet = new RateFleet(policy, rate, ADVERTISED_SPAN, zones, seed);
     fleet.add(zones * perZone);
     return fleet;
   }
 
-  /** Lets instances send in shorter or longer steps; long ones waste a part of a high rate. */
+  /** Sets the simulation step; a long step leaves part of a high rate unused. */
   public void stepBy(Duration newStep) {
     step = newStep;
   }
 
-  /** Lets the upstreams advertise another limit, which all hear. */
+  /** Changes the advertised limit, in requests per second; all instances receive it at once. */
   public void advertise(double newRate) {
     rate = newRate;
   }
 
-  /** Adds instances to the zones in turn. */
+  /** Adds instances, distributed round robin over the zones. */
   public void add(int count) {
     for (int added = 0; added < count; added++) {
       int number = instances.size();
@@ -285,30 +294,30 @@
     }
   }
 
-  /** Cuts the instances into islands at random. */
-  public void cut(int islands) {
+  /** Assigns the instances to network partitions at random. */
+  public void cut(int partitions) {
     for (Instance instance : instances.values()) {
-      int before = instance.island;
-      instance.island = random.nextInt(islands);
-      if (before != 0) {
-        instance.cutUntil = now.plus(MOST_LAG);
+      int previousPartition = instance.partition;
+      instance.partition = random.nextInt(partitions);
+      if (previousPartition != 0) {
+        instance.partitionedUntil = now.plus(MAXIMUM_DETECTION_DELAY);
       }
     }
   }
 
-  /** Starts a share of the instances anew. */
+  /** Restarts a random share of the instances. */
   public void restart(double share) {
     instances.values().stream()
         .filter(instance -> random.nextDouble() < share)
         .forEach(Instance::restart);
   }
 
-  /** Stops a share of the instances, until the next call. */
+  /** Pauses a random share of the instances until the next call. */
   public void freeze(double share) {
     instances.values().forEach(instance -> instance.frozen = random.nextDouble() < share);
   }
 
-  /** Limits upstreams of the first zone from now on, and forgets what was measured. */
+  /** Replaces the limited upstreams of the first zone and resets all measurements. */
   public void limit(int count) {
     upstreams.clear();
     for (int number = 0; number < count; number++) {
@@ -316,12 +325,12 @@
     }
     limitedSince = now;
     firstMillis = OptionalLong.empty();
-    sent.clear();
-    all = 0;
-    worst = 0;
+    recentSends.clear();
+    totalSent = 0;
+    maximumInSpan = 0;
   }
 
-  /** Lets the time pass. */
+  /** Advances virtual time by the duration. */
   public void run(Duration duration) {
     Instant end = now.plus(duration);
     while (now.isBefore(end)) {
@@ -330,18 +339,18 @@
     }
   }
 
-  /** Returns the most requests that an upstream got in any span for which its limit holds. */
+  /** Returns the maximum number of requests to an upstream in any span of its limit. */
   public int worst() {
-    return worst;
+    return maximumInSpan;
   }
 
-  /** Returns the share of what could be sent since the upstreams were limited that was sent. */
+  /** Returns the requests sent as a share of those allowed since the limits were set. */
   public double usedShare() {
     double seconds = Duration.between(limitedSince, now).toMillis() / 1000.0;
-    return all / (rate * seconds * upstreams.size());
+    return totalSent / (rate * seconds * upstreams.size());
   }
 
-  /** Returns after how long the first request was sent, empty if none was. */
+  /** Returns the time from the limit to the first request, or empty if none was sent. */
   public OptionalLong firstMillis() {
     return firstMillis;
   }
--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/VirtualTime.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/VirtualTime.java
@@ -8,10 +8,10 @@
 import java.util.PriorityQueue;
 
 /**
- * Events in virtual time, run one after the other.
+ * Discrete-event scheduler and clock in virtual time.
  *
- * <p>Invariant: time never runs back; events of the same time run in the order in which they were
- * made, so that a run repeats exactly. Used from one thread.
+ * <p>Invariant: time never decreases; events at the same time run in the order in which they were
+ * scheduled, so that runs are reproducible. Not thread-safe.
  */
 final class VirtualTime implements InstantSource {
   private static final Instant START = Instant.parse("2026-12-02T00:00:00Z");
@@ -19,13 +19,14 @@
 
   private final PriorityQueue<Event> events = new PriorityQueue<>();
   private double nowMillis;
-  private long made;
+  private long scheduledCount;
 
-  private record Event(double atMillis, long number, Runnable action) implements Comparable<Event> {
+  private record Event(double atMillis, long sequence, Runnable action)
+      implements Comparable<Event> {
     @Override
     public int compareTo(Event other) {
-      int byTime = Double.compare(atMillis, other.atMillis);
-      return byTime != 0 ? byTime : Long.compare(number, other.number);
+      int timeOrder = Double.compare(atMillis, other.atMillis);
+      return timeOrder != 0 ? timeOrder : Long.compare(sequence, other.sequence);
     }
   }
 
@@ -39,7 +40,7 @@
   }
 
   void after(double millis, Runnable action) {
-    events.add(new Event(nowMillis + millis, made++, action));
+    events.add(new Event(nowMillis + millis, scheduledCount++, action));
   }
 
   void every(double millis, Runnable action) {
--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/Workload.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/Workload.java
@@ -7,10 +7,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The requests of a deployment: classes with their shares and lengths, in sessions that share the
- * start of their prompts. Immutable, thread-safe.
+ * Describes the requests of a deployment: request classes with their shares and lengths, grouped in
+ * sessions whose prompts share a prefix. Immutable, thread-safe.
  *
- * @param name the deployment
+ * @param name the name of the deployment
  * @param engines the number of engines
  * @param instances the number of entry instances
  * @param classes the classes of requests
@@ -19,17 +19,17 @@
   static final int SLOTS = 8;
 
   private static final int SESSIONS_PER_CLASS = 120;
-  private static final double LEAST_SHARE = 0.5;
+  private static final double MINIMUM_LENGTH_FACTOR = 0.5;
 
   /**
    * A class of requests.
    *
    * @param task the task name
-   * @param share the share of all requests
-   * @param promptTokens the mean length of the prompt
-   * @param answerTokens the mean length of the answer
-   * @param deadlineMillis until when the first token is of use
-   * @param priority from 0 to 9
+   * @param share the fraction of all requests, 0 to 1
+   * @param promptTokens the mean length of the prompt, in tokens
+   * @param answerTokens the mean length of the answer, in tokens
+   * @param deadlineMillis the deadline for the first token, in milliseconds after arrival
+   * @param priority the priority, from 0 to 9
    */
   record RequestClass(
       String task,
@@ -39,7 +39,7 @@
       double deadlineMillis,
       int priority) {}
 
-  /** One request. */
+  /** A request with its lengths in tokens, prefix identifier and zone index. */
   record Request(
       RequestClass requestClass, int promptTokens, int answerTokens, long prefix, int zone) {}
 
@@ -66,33 +66,37 @@
             new RequestClass("note", 0.35, 150, 25, 2500, 3)));
   }
 
-  /** Returns how many requests a second use the engines up to {@code load}. */
+  /**
+   * Returns the requests per second that use the fraction {@code load} of the engines' capacity.
+   */
   double ratePerSecond(double load) {
-    double mean = 0;
-    for (RequestClass one : classes) {
-      mean +=
-          one.share() * EngineModel.serviceMillis(one.promptTokens(), one.answerTokens(), SLOTS);
+    double meanServiceMillis = 0;
+    for (RequestClass requestClass : classes) {
+      meanServiceMillis +=
+          requestClass.share()
+              * EngineModel.serviceMillis(
+                  requestClass.promptTokens(), requestClass.answerTokens(), SLOTS);
     }
-    return load * engines * SLOTS / mean * 1000;
+    return load * engines * SLOTS / meanServiceMillis * 1000;
   }
 
   Request draw(RandomGenerator random) {
-    double left = random.nextDouble();
-    RequestClass drawn = classes.get(classes.size() - 1);
-    for (RequestClass one : classes) {
-      left -= one.share();
-      if (left < 0) {
-        drawn = one;
+    double remainingShare = random.nextDouble();
+    RequestClass drawnClass = classes.get(classes.size() - 1);
+    for (RequestClass requestClass : classes) {
+      remainingShare -= requestClass.share();
+      if (remainingShare < 0) {
+        drawnClass = requestClass;
         break;
       }
     }
-    double scale = LEAST_SHARE + random.nextDouble();
+    double lengthFactor = MINIMUM_LENGTH_FACTOR + random.nextDouble();
     long session = (long) (SESSIONS_PER_CLASS * random.nextDouble() * random.nextDouble());
-    long prefix = classes.indexOf(drawn) * 1000L + session;
+    long prefix = classes.indexOf(drawnClass) * 1000L + session;
     return new Request(
-        drawn,
-        (int) (drawn.promptTokens() * scale),
-        Math.max(1, (int) (drawn.answerTokens() * scale)),
+        drawnClass,
+        (int) (drawnClass.promptTokens() * lengthFactor),
+        Math.max(1, (int) (drawnClass.answerTokens() * lengthFactor)),
         prefix,
         random.nextInt(3));
   }
--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/package-info.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/package-info.java
@@ -1,2 +1,2 @@
-/** Measurements of the real decision code: the policy bench, the capacity slopes and JMH. */
+/** Benchmarks of the production decision code: policies, capacity slopes and JMH benchmarks. */
 package org.oatlug.benchmarks;
