--- a/org.oatlug.test/tst/org/oatlug/test/Await.java
+++ b/org.oatlug.test/tst/org/oatlug/test/Await.java
@@ -6,31 +6,35 @@
 import java.time.Duration;
 import java.util.concurrent.Callable;
 
-/** Waits for a state, with a generous bound; tests never assert on how long it took. */
+/** Polls for a condition with a generous timeout; tests never assert how long it took. */
 public final class Await {
-  private static final Duration BOUND = Duration.ofSeconds(40);
+  private static final Duration TIMEOUT = Duration.ofSeconds(40);
   private static final long POLL_MILLIS = 20;
 
   private Await() {}
 
-  /** Returns once the state has come about. */
-  public static void until(String what, Callable<Boolean> state) {
-    long limit = System.nanoTime() + BOUND.toNanos();
-    Exception last = null;
-    while (System.nanoTime() < limit) {
+  /**
+   * Returns once the condition holds.
+   *
+   * @throws AssertionError if it does not hold within the timeout
+   */
+  public static void until(String description, Callable<Boolean> condition) {
+    long deadline = System.nanoTime() + TIMEOUT.toNanos();
+    Exception lastException = null;
+    while (System.nanoTime() < deadline) {
       try {
-        if (state.call()) {
+        if (condition.call()) {
           return;
         }
       } catch (Exception e) {
-        last = e;
+        lastException = e;
       }
       pause(POLL_MILLIS);
     }
-    throw new AssertionError("did not come about: " + what, last);
+    throw new AssertionError("condition not met within the timeout: " + description, lastException);
   }
 
-  /** Lets other processes go on for a while; nothing is concluded from it. */
+  /** Sleeps while other processes run; no assertion depends on the duration. */
   static void pause(long millis) {
     try {
       Thread.sleep(millis);
--- a/org.oatlug.test/tst/org/oatlug/test/FakeClock.java
+++ b/org.oatlug.test/tst/org/oatlug/test/FakeClock.java
@@ -7,7 +7,7 @@
 import java.time.Instant;
 import java.time.InstantSource;
 
-/** A clock that the test moves. Used from one thread. */
+/** Clock that a test advances explicitly. Not thread-safe. */
 final class FakeClock implements InstantSource {
   private Instant now = Instant.parse("2026-12-02T12:00:00Z");
 
--- a/org.oatlug.test/tst/org/oatlug/test/FakePlatform.java
+++ b/org.oatlug.test/tst/org/oatlug/test/FakePlatform.java
@@ -20,52 +20,52 @@
 import org.oatlug.platform.StoredObject;
 
 /**
- * A platform in memory whose calls take effect when the test says so: in any order, with their
- * replies delivered or lost. Used from one thread.
+ * In-memory platform whose calls take effect when a test triggers them: in any order, with
+ * responses delivered or lost. Not thread-safe.
  */
 final class FakePlatform implements Platform {
   private final Map<ObjectKey, StoredObject> objects = new TreeMap<>();
-  private final List<Call> calls = new ArrayList<>();
+  private final List<Call> pendingCalls = new ArrayList<>();
   private final StoreEpoch epoch = StoreEpoch.create();
-  private final boolean conditional;
+  private final boolean checksRevision;
   private boolean immediate = true;
   private long revision;
 
-  private FakePlatform(boolean conditional) {
-    this.conditional = conditional;
+  private FakePlatform(boolean checksRevision) {
+    this.checksRevision = checksRevision;
   }
 
   static FakePlatform create() {
     return new FakePlatform(true);
   }
 
-  /** Returns a platform that writes whatever version stands; shows what the condition is for. */
+  /** Returns a platform that ignores the expected revision of a write, for negative tests. */
   static FakePlatform unconditional() {
     return new FakePlatform(false);
   }
 
-  /** A call that has not taken effect yet. */
+  /** A pending call. */
   interface Call {
     void deliver(boolean replyLost);
   }
 
-  /** Lets calls wait for the test, or take effect at once. */
-  void waitForTest(boolean waits) {
-    immediate = !waits;
+  /** Sets whether calls are deferred until the test delivers them or take effect immediately. */
+  void waitForTest(boolean deferred) {
+    immediate = !deferred;
   }
 
   int pending() {
-    return calls.size();
+    return pendingCalls.size();
   }
 
-  /** Lets one of the waiting calls take effect. */
+  /** Executes the pending call at the index; its response is lost if {@code replyLost}. */
   void deliver(int index, boolean replyLost) {
-    calls.remove(index).deliver(replyLost);
+    pendingCalls.remove(index).deliver(replyLost);
   }
 
-  /** Lets all waiting calls take effect, oldest first. */
+  /** Executes all pending calls in the order of their arrival. */
   void deliverAll() {
-    while (!calls.isEmpty()) {
+    while (!pendingCalls.isEmpty()) {
       deliver(0, false);
     }
   }
@@ -86,10 +86,11 @@
   }
 
   private Uni<StoreRevision> write(ObjectKey key, StoreRevision expected, JsonNode value) {
-    Optional<StoredObject> known = Optional.ofNullable(objects.get(key));
-    StoreRevision standing = known.map(StoredObject::revision).orElse(StoreRevision.NONE);
-    if (conditional && !standing.equals(expected)) {
-      return Uni.createFrom().failure(new ConflictException(key, expected, known));
+    Optional<StoredObject> currentObject = Optional.ofNullable(objects.get(key));
+    StoreRevision currentRevision =
+        currentObject.map(StoredObject::revision).orElse(StoreRevision.NONE);
+    if (checksRevision && !currentRevision.equals(expected)) {
+      return Uni.createFrom().failure(new ConflictException(key, expected, currentObject));
     }
     revision++;
     StoreRevision written = StoreRevision.ofNumber(revision);
@@ -113,37 +114,38 @@
   }
 
   private Batch batch(List<String> kinds, StoreRevision since) {
-    List<StoredObject> found = new ArrayList<>();
+    List<StoredObject> matches = new ArrayList<>();
     for (StoredObject object : objects.values()) {
       if (object.revision().isAfter(since) && kinds.contains(object.key().kind())) {
-        found.add(object);
+        matches.add(object);
       }
     }
-    return new Batch(StoreRevision.ofNumber(revision), found);
+    return new Batch(StoreRevision.ofNumber(revision), matches);
   }
 
-  private <T> Uni<T> call(java.util.function.Supplier<Uni<T>> effect) {
+  private <T> Uni<T> call(java.util.function.Supplier<Uni<T>> operation) {
     return Uni.createFrom()
         .emitter(
-            emitter -> {
+            responseEmitter -> {
               Call call =
                   replyLost ->
-                      effect
+                      operation
                           .get()
                           .subscribe()
                           .with(
                               item -> {
                                 if (replyLost) {
-                                  emitter.fail(new PlatformUnavailableException("lost", null));
+                                  responseEmitter.fail(
+                                      new PlatformUnavailableException("lost", null));
                                 } else {
-                                  emitter.complete(item);
+                                  responseEmitter.complete(item);
                                 }
                               },
-                              emitter::fail);
+                              responseEmitter::fail);
               if (immediate) {
                 call.deliver(false);
               } else {
-                calls.add(call);
+                pendingCalls.add(call);
               }
             });
   }
--- a/org.oatlug.test/tst/org/oatlug/test/Http.java
+++ b/org.oatlug.test/tst/org/oatlug/test/Http.java
@@ -16,17 +16,17 @@
 import org.oatlug.internal.util.Json;
 
 /**
- * A small HTTP client for tests. Its patience goes by the steady clock, so that a suspension of the
- * host ends no request. Thread-safe.
+ * HTTP client for tests. Its timeout uses the monotonic clock, so that a suspension of the host
+ * does not abort requests. Thread-safe.
  */
 final class Http {
-  private static final Duration PATIENCE = Duration.ofSeconds(30);
+  private static final Duration TIMEOUT = Duration.ofSeconds(30);
   private static final HttpClient CLIENT =
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
   private Http() {}
 
-  /** An answer. */
+  /** An HTTP response with its status and body. */
   record Answer(int status, String body, HttpResponse<String> response) {
     JsonNode json() {
       try {
@@ -76,6 +76,6 @@
     return CLIENT
         .sendAsync(request.build(), HttpResponse.BodyHandlers.ofString())
         .thenApply(response -> new Answer(response.statusCode(), response.body(), response))
-        .orTimeout(PATIENCE.toMillis(), TimeUnit.MILLISECONDS);
+        .orTimeout(TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/test/ObjectJoinTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/ObjectJoinTest.java
@@ -20,38 +20,40 @@
 import org.oatlug.platform.StoreRevision;
 import org.oatlug.platform.StoredObject;
 
-/** Shows that published objects never revert, whatever the order, loss and repetition. */
+/** Checks that published objects never revert under reordering, loss and duplication. */
 class ObjectJoinTest {
   private static final String SEED = "20261202";
 
   @Property(seed = SEED)
   void testAnyOrderAndRepetitionEndsAtTheSameObjects(
       @ForAll @Size(max = 40) List<@IntRange(min = 0, max = 5) Integer> names,
-      @ForAll @IntRange(min = 0, max = 1000) int shuffle) {
+      @ForAll @IntRange(min = 0, max = 1000) int shuffleSeed) {
     List<StoredObject> history = history(names);
-    List<StoredObject> disturbed = new ArrayList<>(history);
-    disturbed.addAll(history.subList(0, history.size() / 2));
-    Collections.shuffle(disturbed, new Random(shuffle));
-    ObjectJoin inOrder = joinOf(history);
-    ObjectJoin inDisorder = joinOf(disturbed);
-    assertEquals(List.copyOf(inDisorder.all()), List.copyOf(inOrder.all()));
-    assertEquals(inDisorder.digest(), inOrder.digest());
-    assertEquals(inDisorder.bucketDigests(), inOrder.bucketDigests());
+    List<StoredObject> shuffled = new ArrayList<>(history);
+    shuffled.addAll(history.subList(0, history.size() / 2));
+    Collections.shuffle(shuffled, new Random(shuffleSeed));
+    ObjectJoin joinInOrder = joinOf(history);
+    ObjectJoin joinShuffled = joinOf(shuffled);
+    assertEquals(List.copyOf(joinShuffled.all()), List.copyOf(joinInOrder.all()));
+    assertEquals(joinShuffled.digest(), joinInOrder.digest());
+    assertEquals(joinShuffled.bucketDigests(), joinInOrder.bucketDigests());
   }
 
   @Property(seed = SEED)
   void testLateObjectLowersNoVersion(
       @ForAll @Size(min = 1, max = 40) List<@IntRange(min = 0, max = 3) Integer> names,
-      @ForAll @IntRange(min = 0, max = 1000) int shuffle) {
-    List<StoredObject> disturbed = new ArrayList<>(history(names));
-    Collections.shuffle(disturbed, new Random(shuffle));
+      @ForAll @IntRange(min = 0, max = 1000) int shuffleSeed) {
+    List<StoredObject> shuffled = new ArrayList<>(history(names));
+    Collections.shuffle(shuffled, new Random(shuffleSeed));
     ObjectJoin join = ObjectJoin.create(ObjectRules.BY_REVISION);
-    for (StoredObject object : disturbed) {
-      StoreRevision before =
+    for (StoredObject object : shuffled) {
+      StoreRevision previousRevision =
           join.get(object.key()).map(StoredObject::revision).orElse(StoreRevision.NONE);
       join.merge(object);
-      StoreRevision after = join.get(object.key()).orElseThrow().revision();
-      assertEquals(after, object.revision().isAfter(before) ? object.revision() : before);
+      StoreRevision currentRevision = join.get(object.key()).orElseThrow().revision();
+      assertEquals(
+          currentRevision,
+          object.revision().isAfter(previousRevision) ? object.revision() : previousRevision);
     }
   }
 
@@ -61,7 +63,7 @@
     return join;
   }
 
-  /** Returns one object a name, its platform version growing along the list. */
+  /** Returns an object for each name, with revisions that increase along the list. */
   private static List<StoredObject> history(List<Integer> names) {
     List<StoredObject> history = new ArrayList<>();
     for (int index = 0; index < names.size(); index++) {
--- a/org.oatlug.test/tst/org/oatlug/test/Ports.java
+++ b/org.oatlug.test/tst/org/oatlug/test/Ports.java
@@ -12,54 +12,58 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Finds free ports below the range from which the system takes ports of its own.
+ * Allocates free ports below the ephemeral port range of the operating system. Thread-safe.
  *
- * <p>Invariant: runs of the tests at the same time use different ports, because each holds the lock
- * of a range for as long as it runs.
+ * <p>Invariant: concurrent test runs use disjoint ports, because each run holds an exclusive file
+ * lock on its range until it exits.
  */
 public final class Ports {
-  private static final int FIRST = 20_000;
-  private static final int RANGES = 30;
+  private static final int FIRST_PORT = 20_000;
+  private static final int RANGE_COUNT = 30;
   private static final int RANGE_SIZE = 400;
 
-  private static FileLock lock;
+  private static FileLock rangeLock;
   private static int rangeStart;
-  private static int next;
+  private static int nextOffset;
 
   private Ports() {}
 
-  /** Returns a port that nothing listens on. */
+  /**
+   * Returns a port on which no socket listens.
+   *
+   * @throws IllegalStateException if no port is free
+   */
   public static synchronized int free() {
-    if (lock == null) {
+    if (rangeLock == null) {
       lockRange();
     }
-    for (int tries = 0; tries < RANGE_SIZE; tries++) {
-      int port = rangeStart + next;
-      next = (next + 1) % RANGE_SIZE;
+    for (int attempt = 0; attempt < RANGE_SIZE; attempt++) {
+      int port = rangeStart + nextOffset;
+      nextOffset = (nextOffset + 1) % RANGE_SIZE;
       try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getByName("0.0.0.0"))) {
         return socket.getLocalPort();
       } catch (IOException e) {
         continue;
       }
     }
-    throw new IllegalStateException("no free port");
+    throw new IllegalStateException("no free port in the locked range");
   }
 
   private static void lockRange() {
-    for (int range = 0; range < RANGES; range++) {
+    for (int range = 0; range < RANGE_COUNT; range++) {
       Path file = Path.of(System.getProperty("java.io.tmpdir"), "oatlug-ports-" + range);
       try {
         FileChannel channel =
             FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-        lock = channel.tryLock();
+        rangeLock = channel.tryLock();
       } catch (IOException e) {
         continue;
       }
-      if (lock != null) {
-        rangeStart = FIRST + range * RANGE_SIZE;
+      if (rangeLock != null) {
+        rangeStart = FIRST_PORT + range * RANGE_SIZE;
         return;
       }
     }
-    throw new IllegalStateException("no free range of ports");
+    throw new IllegalStateException("no free port range: all are locked or inaccessible");
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/test/RolloutSample.java
+++ b/org.oatlug.test/tst/org/oatlug/test/RolloutSample.java
@@ -9,13 +9,13 @@
 import org.oatlug.gateway.Route;
 import org.oatlug.gateway.RouteKind;
 
-/** The service, route and bounds that tests of roll-outs use. Immutable, thread-safe. */
+/** Service, route and bounds shared by roll-out tests. Immutable, thread-safe. */
 final class RolloutSample {
   static final String SERVICE = "pool";
   static final String OLD = "v1";
   static final String NEW = "v2";
 
-  /** The longest pause of a session. */
+  /** The maximum idle time of a session. */
   static final Duration SESSION_PAUSE = Duration.ofSeconds(5);
 
   static final GatewaySettings.Bounds BOUNDS =
--- a/org.oatlug.test/tst/org/oatlug/test/VirtualTime.java
+++ b/org.oatlug.test/tst/org/oatlug/test/VirtualTime.java
@@ -9,32 +9,32 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** A clock that goes from one planned action to the next. Used from one thread. */
+/** Virtual clock that advances from one scheduled action to the next. Not thread-safe. */
 public final class VirtualTime implements InstantSource {
   private final PriorityQueue<Event> events =
-      new PriorityQueue<>(Comparator.comparing(Event::at).thenComparing(Event::number));
+      new PriorityQueue<>(Comparator.comparing(Event::at).thenComparing(Event::sequence));
   private Instant now = Instant.parse("2026-12-02T12:00:00Z");
-  private long numbers;
+  private long scheduledCount;
 
-  private record Event(Instant at, long number, Runnable action) {}
+  private record Event(Instant at, long sequence, Runnable action) {}
 
   @Override
   public Instant instant() {
     return now;
   }
 
-  /** Plans an action; those planned for the same moment run in the order of planning. */
-  public void after(Duration wait, Runnable action) {
-    events.add(new Event(now.plus(wait), numbers++, action));
+  /** Schedules an action; actions at the same time run in the order of scheduling. */
+  public void after(Duration delay, Runnable action) {
+    events.add(new Event(now.plus(delay), scheduledCount++, action));
   }
 
-  /** Lets the time pass. */
-  public void run(Duration time) {
-    Instant end = now.plus(time);
+  /** Advances the clock by the duration and runs the actions that fall due. */
+  public void run(Duration duration) {
+    Instant end = now.plus(duration);
     while (!events.isEmpty() && !events.peek().at().isAfter(end)) {
-      Event next = events.poll();
-      now = next.at();
-      next.action().run();
+      Event event = events.poll();
+      now = event.at();
+      event.action().run();
     }
     now = end;
   }
