--- a/org.oatlug/src/org/oatlug/internal/log/StructuredLogger.java
+++ b/org.oatlug/src/org/oatlug/internal/log/StructuredLogger.java
@@ -15,9 +15,9 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * Flogger backend that passes log statements to SLF4J with their metadata as key-value fields.
+ * Passes Flogger's log statements to SLF4J, with their metadata as key-value fields.
  *
- * <p>The SLF4J backend of Flogger appends metadata to the text of the message; here the id of a
+ * <p>The SLF4J binding of Flogger appends metadata to the text of the message; here the id of a
  * request stays a separate field. Immutable, thread-safe.
  */
 final class StructuredLogger extends LoggerBackend {
@@ -27,7 +27,7 @@
     this.target = target;
   }
 
-  /** Creates the backend of each class that logs; loaded as a service of the jar. */
+  /** Creates a {@code StructuredLogger} per class that logs; loaded as a service of the jar. */
   public static final class Factory extends BackendFactory {
     @Override
     public LoggerBackend create(String className) {
