--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/CascadeBench.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/CascadeBench.java
@@ -13,17 +13,17 @@
 import org.oatlug.internal.cascade.StageChooser;
 
 /**
- * Cost of cascades at the quality target, with the real stage choice, against the strongest model
- * and a fixed choice by length. Stateless.
+ * Measures the cost of cascades at the quality target with the production stage chooser, compared
+ * with the strongest model and with a fixed choice by prompt length. Stateless.
  */
 final class CascadeBench {
   private static final Cascade CASCADE = new Cascade(List.of("small", "medium", "large"), 2, 0.9);
-  private static final int[] COST_PER_THOUSAND = {200, 900, 4000};
+  private static final int[] COST_PER_THOUSAND_TOKENS = {200, 900, 4000};
   private static final int REQUESTS = 40_000;
   private static final int RUNS = 5;
   private static final int INSTANCES = 7;
 
-  /** The true share of answers that meet the target, by task and stage. */
+  /** The actual fraction of responses that meet the target, by task and stage. */
   private static final Map<String, double[]> QUALITY =
       Map.of(
           "tag", new double[] {0.95, 0.97, 0.99},
@@ -31,8 +31,8 @@
           "specification", new double[] {0.10, 0.55, 0.96});
 
   private static final List<String> TASKS = List.of("tag", "question", "specification");
-  private static final double[] SHARES = {0.5, 0.42, 0.08};
-  private static final int[] TOKENS = {140, 520, 3500};
+  private static final double[] TASK_FRACTIONS = {0.5, 0.42, 0.08};
+  private static final int[] TOKENS_BY_TASK = {140, 520, 3500};
 
   private CascadeBench() {}
 
@@ -52,55 +52,56 @@
   }
 
   private static void measure(
-      ArrayNode rows, String name, StageChooser chooser, double ratedUntil) {
+      ArrayNode rows, String name, StageChooser chooser, double ratedFraction) {
     double cost = 0;
-    double met = 0;
+    double targetMet = 0;
     for (int run = 0; run < RUNS; run++) {
-      double[] one = runOnce(chooser, ratedUntil, new Random(run));
-      cost += one[0] / RUNS;
-      met += one[1] / RUNS;
+      double[] costAndFraction = simulateRequests(chooser, ratedFraction, new Random(run));
+      cost += costAndFraction[0] / RUNS;
+      targetMet += costAndFraction[1] / RUNS;
     }
-    System.out.printf("%-30s %12.0f %11.1f%%%n", name, cost, met * 100);
+    System.out.printf("%-30s %12.0f %11.1f%%%n", name, cost, targetMet * 100);
     rows.addObject()
         .put("group", "cascade")
         .put("policy", name)
         .put("costPerThousandRequests", cost)
-        .put("targetMet", met);
+        .put("targetMet", targetMet);
   }
 
-  private static double[] runOnce(StageChooser chooser, double ratedUntil, Random random) {
+  private static double[] simulateRequests(
+      StageChooser chooser, double ratedFraction, Random random) {
     RatingTable[] tables = new RatingTable[INSTANCES];
     for (int index = 0; index < INSTANCES; index++) {
       tables[index] = RatingTable.create();
     }
     double cost = 0;
-    int met = 0;
+    int targetMet = 0;
     for (int number = 0; number < REQUESTS; number++) {
-      int task = draw(random);
+      int task = drawTask(random);
       String name = TASKS.get(task);
       RatingTable ratings = tables[random.nextInt(INSTANCES)];
       int stage = chooser.choose(CASCADE, "desk", name, ratings, random);
-      boolean good = random.nextDouble() < QUALITY.get(name)[stage];
-      cost += TOKENS[task] * COST_PER_THOUSAND[stage] / 1000.0;
-      met += good ? 1 : 0;
+      boolean meetsTarget = random.nextDouble() < QUALITY.get(name)[stage];
+      cost += TOKENS_BY_TASK[task] * COST_PER_THOUSAND_TOKENS[stage] / 1000.0;
+      targetMet += meetsTarget ? 1 : 0;
       RatingTable.Subject subject =
           new RatingTable.Subject("desk", name, CASCADE.stages().get(stage));
       ratings.recordSubmission(subject);
-      if (number < REQUESTS * ratedUntil) {
-        ratings.rated(subject, good);
+      if (number < REQUESTS * ratedFraction) {
+        ratings.rated(subject, meetsTarget);
       }
     }
-    return new double[] {cost / REQUESTS * 1000, (double) met / REQUESTS};
+    return new double[] {cost / REQUESTS * 1000, (double) targetMet / REQUESTS};
   }
 
-  private static int draw(Random random) {
-    double left = random.nextDouble();
-    for (int task = 0; task < SHARES.length; task++) {
-      left -= SHARES[task];
-      if (left < 0) {
+  private static int drawTask(Random random) {
+    double remaining = random.nextDouble();
+    for (int task = 0; task < TASK_FRACTIONS.length; task++) {
+      remaining -= TASK_FRACTIONS[task];
+      if (remaining < 0) {
         return task;
       }
     }
-    return SHARES.length - 1;
+    return TASK_FRACTIONS.length - 1;
   }
 }
--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/DecideBench.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/DecideBench.java
@@ -38,7 +38,7 @@
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 import org.openjdk.jmh.runner.options.TimeValue;
 
-/** Time and allocation of a decision and of a policy, by JMH. */
+/** Measures the time and allocation of a routing decision and of a policy evaluation with JMH. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -56,7 +56,7 @@
   private RouteRequest request;
   private PolicyProgram program;
   private PolicyProgram.Subject subject;
-  private long version;
+  private long lastRevision;
 
   /** Runs the benchmarks. */
   public static void main(String[] arguments) throws RunnerException {
@@ -73,7 +73,7 @@
         .run();
   }
 
-  /** Publishes the objects. */
+  /** Publishes the objects and creates the router, the request and the policy. */
   @Setup
   public void publish() throws PolicyInvalidException {
     publish("model", "m", object().put("description", "m"));
@@ -106,14 +106,14 @@
 
   private void publish(String kind, String name, ObjectNode spec) {
     ObjectKey key = ObjectKey.valueOf(kind, name);
-    tables.catalogue().merge(StoredObject.of(key, StoreRevision.ofNumber(++version), spec));
+    tables.catalogue().merge(StoredObject.of(key, StoreRevision.ofNumber(++lastRevision), spec));
   }
 
   private static ObjectNode object() {
     return Json.STRICT.createObjectNode();
   }
 
-  /** Decides where a request goes. */
+  /** Routes a request. */
   @Benchmark
   public RoutingDecision decide() {
     return router.decide(request, tables, now);
--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/PolicyBench.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/PolicyBench.java
@@ -18,38 +18,39 @@
 import org.oatlug.internal.util.Json;
 
 /**
- * The policy bench: prints a table of the decisions against baselines in the same run, and writes
- * it as JSON and as a plot under {@code target/}. Virtual time and fixed seeds: a run repeats
- * exactly. Arguments choose parts: choice, faults, overload, cascade, rollout.
+ * Compares the routing policies with baselines, prints the results as a table and writes them as
+ * JSON and as a plot under {@code target/}. Virtual time and fixed seeds make runs reproducible.
+ * The arguments select parts: choice, faults, overload, cascade, rollout.
  */
 public final class PolicyBench {
   private static final long[] SEEDS = {1, 2, 3};
   private static final double[] LOADS = {0.5, 0.8, 0.95, 1.1};
   private static final double FAULT_LOAD = 0.8;
-  private static final String REAL = "predicted cost";
+  private static final String PREDICTED_COST = "predicted cost";
   private static final String LINE = "cost and line";
-  private static final Path TARGET = Path.of("target");
+  private static final Path OUTPUT_DIRECTORY = Path.of("target");
 
   private final ArrayNode rows = Json.STRICT.createArrayNode();
 
   private PolicyBench() {}
 
-  /** Runs the bench. */
+  /** Runs the selected parts of the benchmark, or all of them without arguments. */
   public static void main(String[] arguments) throws IOException {
     PolicyBench bench = new PolicyBench();
     Map<String, Runnable> parts = new LinkedHashMap<>();
-    parts.put("choice", bench::upstreamChoice);
-    parts.put("faults", bench::faults);
-    parts.put("overload", bench::overload);
+    parts.put("choice", bench::compareChoosers);
+    parts.put("faults", bench::compareUnderFaults);
+    parts.put("overload", bench::compareUnderOverload);
     parts.put("cascade", () -> CascadeBench.run(bench.rows));
     parts.put("rollout", () -> RolloutBench.run(bench.rows));
-    List<String> wanted = arguments.length == 0 ? List.copyOf(parts.keySet()) : List.of(arguments);
-    for (String part : wanted) {
+    List<String> selectedParts =
+        arguments.length == 0 ? List.copyOf(parts.keySet()) : List.of(arguments);
+    for (String part : selectedParts) {
       parts.getOrDefault(part, () -> System.err.println("unknown part " + part)).run();
     }
-    Files.createDirectories(TARGET);
-    Files.writeString(TARGET.resolve("policy-bench.json"), bench.rows.toPrettyString());
-    BenchPlot.write(bench.rows, TARGET.resolve("policy-bench.png"));
+    Files.createDirectories(OUTPUT_DIRECTORY);
+    Files.writeString(OUTPUT_DIRECTORY.resolve("policy-bench.json"), bench.rows.toPrettyString());
+    BenchPlot.write(bench.rows, OUTPUT_DIRECTORY.resolve("policy-bench.png"));
     System.out.println("\nwritten: target/policy-bench.json, target/policy-bench.png");
   }
 
@@ -58,7 +59,7 @@
     choosers.put("random", Baselines::random);
     choosers.put("round robin", Baselines::roundRobin);
     choosers.put("least in flight", Baselines::leastInFlight);
-    choosers.put(REAL, PredictedCost::create);
+    choosers.put(PREDICTED_COST, PredictedCost::create);
     choosers.put(LINE, PredictedCost::create);
     return choosers;
   }
@@ -67,8 +68,8 @@
     return name.equals(LINE) ? CapacityRule.slotsAndShortQueue() : CapacityRule.unbounded();
   }
 
-  private void upstreamChoice() {
-    title("Upstream choice: time to the first token in ms");
+  private void compareChoosers() {
+    printHeader("Upstream choice: time to the first token in ms");
     for (Workload workload : List.of(Workload.blueMahoe(), Workload.terminalWayfinding())) {
       for (double load : LOADS) {
         choosers()
@@ -84,11 +85,11 @@
     }
   }
 
-  private void faults() {
-    title("Faults at 80% load");
+  private void compareUnderFaults() {
+    printHeader("Faults at 80% load");
     for (PoolRun.Fault fault : PoolRun.Fault.values()) {
-      double lag = fault == PoolRun.Fault.NONE ? 5000 : 200;
-      String group = lag > 1000 ? "reports 5 s late" : fault.name().toLowerCase();
+      double reportLagMillis = fault == PoolRun.Fault.NONE ? 5000 : 200;
+      String group = reportLagMillis > 1000 ? "reports 5 s late" : fault.name().toLowerCase();
       choosers()
           .forEach(
               (name, chooser) ->
@@ -96,12 +97,14 @@
                       group,
                       Workload.blueMahoe(),
                       name,
-                      new PoolRun.Options(FAULT_LOAD, chooser, capacityOf(name), lag, fault)));
+                      new PoolRun.Options(
+                          FAULT_LOAD, chooser, capacityOf(name), reportLagMillis, fault)));
     }
   }
 
-  private void overload() {
-    title("Overload: answers that begin within their deadline, with and without a waiting line");
+  private void compareUnderOverload() {
+    printHeader(
+        "Overload: answers that begin within their deadline, with and without a waiting line");
     for (Workload workload : List.of(Workload.blueMahoe(), Workload.terminalWayfinding())) {
       for (double load : new double[] {1.0, 1.1, 1.3}) {
         measure(
@@ -124,7 +127,7 @@
     }
   }
 
-  private static void title(String text) {
+  private static void printHeader(String text) {
     System.out.printf(
         "%n%s%n%-17s %-20s %5s %-16s %7s %7s %7s %8s %8s %7s%n",
         text,
--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/PoolRun.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/PoolRun.java
@@ -32,15 +32,15 @@
 import org.oatlug.platform.StoredObject;
 
 /**
- * One run of a pool of engines before entry instances, each with its own tables and the real
- * decision code, in virtual time. Used from one thread.
+ * Simulates a pool of engines behind entry instances in virtual time. Each instance has its own
+ * tables and runs the production routing code. Not thread-safe.
  */
 final class PoolRun {
   private static final double WARM_UP_MILLIS = 30_000;
   private static final double END_MILLIS = 150_000;
-  private static final int MAXIMUM_TRIES = 3;
+  private static final int MAXIMUM_ATTEMPTS = 3;
   private static final String[] ZONES = {"hall-a", "hall-b", "hall-c"};
-  private static final long LONGEST_MILLIS = 600_000;
+  private static final long MAXIMUM_LATENCY_MILLIS = 600_000;
 
   private final VirtualTime time = new VirtualTime();
   private final Workload workload;
@@ -57,13 +57,13 @@
   }
 
   /**
-   * What is varied.
+   * The parameters of a run.
    *
-   * @param load the share of the pool's capacity that is asked for
-   * @param chooser makes the chooser of each instance
+   * @param load the offered load as a fraction of the pool's capacity
+   * @param chooser creates the upstream chooser of each instance
    * @param capacity decides which upstreams have no capacity
-   * @param reportLagMillis how old load reports are when they arrive
-   * @param fault what goes wrong
+   * @param reportLagMillis the age of load reports when they arrive
+   * @param fault the injected fault
    */
   record Options(
       double load,
@@ -72,7 +72,7 @@
       double reportLagMillis,
       Fault fault) {}
 
-  /** What goes wrong after the warm-up. */
+  /** The fault injected after the warm-up. */
   enum Fault {
     NONE,
     SLOW_ENGINE,
@@ -81,9 +81,9 @@
     ZONE_CUT
   }
 
-  /** What a run measured; times are in milliseconds. */
+  /** The measurements of a run; times are in milliseconds. */
   static final class Result {
-    final Histogram firstToken = new Histogram(LONGEST_MILLIS, 3);
+    final Histogram firstToken = new Histogram(MAXIMUM_LATENCY_MILLIS, 3);
     int asked;
     int inTime;
     int refused;
@@ -109,10 +109,14 @@
       Tables tables = Tables.create(Freshness.withBound(Duration.ofSeconds(10)));
       publish(tables);
       String zone = ZONES[index % ZONES.length];
-      Random source = new Random(random.nextLong());
+      Random routerRandom = new Random(random.nextLong());
       Router router =
           Router.create(
-              zone, ConfidentStage.create(), options.chooser().get(), options.capacity(), source);
+              zone,
+              ConfidentStage.create(),
+              options.chooser().get(),
+              options.capacity(),
+              routerRandom);
       entries.add(new Entry(tables, router, RetryBudget.create(), AdmissionQueue.create(), zone));
       double offset = 1000.0 * index / workload.instances();
       Entry entry = entries.get(index);
@@ -124,16 +128,18 @@
                   Double.parseDouble(System.getProperty("period", "1000")),
                   () -> readLoad(tables)));
     }
-    time.after(WARM_UP_MILLIS, this::strike);
-    arriveNext();
+    time.after(WARM_UP_MILLIS, this::injectFault);
+    scheduleNextArrival();
   }
 
   private void publish(Tables tables) {
     long version = 0;
-    for (Map.Entry<ObjectKey, ObjectNode> one : objects().entrySet()) {
+    for (Map.Entry<ObjectKey, ObjectNode> object : objects().entrySet()) {
       tables
           .catalogue()
-          .merge(StoredObject.of(one.getKey(), StoreRevision.ofNumber(++version), one.getValue()));
+          .merge(
+              StoredObject.of(
+                  object.getKey(), StoreRevision.ofNumber(++version), object.getValue()));
     }
   }
 
@@ -143,10 +149,10 @@
     ObjectNode version = object().put("model", "m").put("state", "current");
     objects.put(ObjectKey.valueOf("version", "m-v1"), version.put("costPerThousandTokens", 1));
     objects.put(ObjectKey.valueOf("policy", "all"), object().put("program", "true"));
-    for (Workload.RequestClass one : workload.classes()) {
+    for (Workload.RequestClass requestClass : workload.classes()) {
       ObjectNode workspace = object().put("policy", "all").put("requestsPerSecond", 1000);
-      workspace.put("priority", one.priority()).putArray("keyHashes").add("x");
-      objects.put(ObjectKey.valueOf("workspace", one.task()), workspace);
+      workspace.put("priority", requestClass.priority()).putArray("keyHashes").add("x");
+      objects.put(ObjectKey.valueOf("workspace", requestClass.task()), workspace);
     }
     for (int index = 0; index < workload.engines(); index++) {
       ObjectNode upstream = object().put("kind", "engine").put("host", "127.0.0.1");
@@ -166,14 +172,14 @@
     return "engine-" + engine;
   }
 
-  private void strike() {
+  private void injectFault() {
     EngineModel engine = engines.get(0);
     switch (options.fault()) {
       case SLOW_ENGINE -> engine.slowFactor = 4;
       case FAILING_ENGINE -> engine.fails = true;
       case LEAVING_ENGINE -> engine.leaving = true;
       default -> {
-        // The cut of a zone shows where requests are sent.
+        // ZONE_CUT takes effect when a request chooses its upstreams.
       }
     }
   }
@@ -191,62 +197,64 @@
     }
   }
 
-  private void arriveNext() {
+  private void scheduleNextArrival() {
     double mean = 1000 / workload.ratePerSecond(options.load());
     time.after(
         -Math.log(1 - random.nextDouble()) * mean,
         () -> {
           arrive(workload.draw(random));
-          arriveNext();
+          scheduleNextArrival();
         });
   }
 
   private void arrive(Workload.Request request) {
     Entry entry = entries.get(random.nextInt(entries.size()));
-    boolean counts = time.nowMillis() > WARM_UP_MILLIS && time.nowMillis() < END_MILLIS - 20_000;
-    if (counts) {
+    boolean isMeasured =
+        time.nowMillis() > WARM_UP_MILLIS && time.nowMillis() < END_MILLIS - 20_000;
+    if (isMeasured) {
       result.asked++;
     }
     entry.retries().recordFirstAttempt();
-    new Try(entry, request, counts, time.nowMillis()).next();
+    new SimulatedRequest(entry, request, isMeasured, time.nowMillis()).next();
   }
 
-  /** One request on its way. */
-  private final class Try {
+  /** A simulated request and its attempts. */
+  private final class SimulatedRequest {
     private final Entry entry;
     private final Workload.Request request;
-    private final boolean counts;
-    private final double started;
-    private final Set<String> failed = new HashSet<>();
+    private final boolean isMeasured;
+    private final double startedAtMillis;
+    private final Set<String> failedEngines = new HashSet<>();
 
-    Try(Entry entry, Workload.Request request, boolean counts, double started) {
+    SimulatedRequest(
+        Entry entry, Workload.Request request, boolean isMeasured, double startedAtMillis) {
       this.entry = entry;
       this.request = request;
-      this.counts = counts;
-      this.started = started;
+      this.isMeasured = isMeasured;
+      this.startedAtMillis = startedAtMillis;
       if (options.fault() == Fault.ZONE_CUT && time.nowMillis() > WARM_UP_MILLIS) {
-        excludeOtherZones();
+        excludeUnreachableZones();
       }
     }
 
-    private void excludeOtherZones() {
-      boolean cut = entry.zone().equals(ZONES[0]);
+    private void excludeUnreachableZones() {
+      boolean isInCutZone = entry.zone().equals(ZONES[0]);
       for (int index = 0; index < engines.size(); index++) {
-        boolean inCutZone = index % ZONES.length == 0;
-        if (cut != inCutZone) {
-          failed.add(nameOf(index));
+        boolean engineIsInCutZone = index % ZONES.length == 0;
+        if (isInCutZone != engineIsInCutZone) {
+          failedEngines.add(nameOf(index));
         }
       }
     }
 
     void next() {
-      if (!goesOn()) {
-        waitInLine();
+      if (!tryRoute()) {
+        waitInQueue();
       }
     }
 
     /** Tries to reserve capacity; returns false if the request has to wait for it. */
-    private boolean goesOn() {
+    private boolean tryRoute() {
       RouteRequest route =
           new RouteRequest(
               request.requestClass().task(),
@@ -256,7 +264,7 @@
               request.promptTokens(),
               request.prefix(),
               0,
-              Set.copyOf(failed));
+              Set.copyOf(failedEngines));
       RoutingDecision decision = entry.router().decide(route, entry.tables(), time.instant());
       if (decision.refusal().equals(Optional.of(RefusalReason.OVERLOADED))) {
         return false;
@@ -269,20 +277,21 @@
       return true;
     }
 
-    private void waitInLine() {
-      double left = started + request.requestClass().deadlineMillis() - time.nowMillis();
+    private void waitInQueue() {
+      double remainingMillis =
+          startedAtMillis + request.requestClass().deadlineMillis() - time.nowMillis();
       AdmissionQueue.QueuedRequest queuedRequest =
           new AdmissionQueue.QueuedRequest(
               "m",
               request.requestClass().priority(),
-              time.instant().plusMillis((long) left),
-              this::goesOn,
+              time.instant().plusMillis((long) remainingMillis),
+              this::tryRoute,
               this::refuse);
       entry.queue().enqueue(queuedRequest, time.instant()).ifPresent(wait -> refuse());
     }
 
     private void refuse() {
-      result.refused += counts ? 1 : 0;
+      result.refused += isMeasured ? 1 : 0;
     }
 
     private void dispatch(String name) {
@@ -290,36 +299,40 @@
       UpstreamRow row = entry.tables().upstreams().row(name);
       row.reserve();
       result.toLeaving += engine.leaving ? 1 : 0;
-      double sent = time.nowMillis();
+      double sentAtMillis = time.nowMillis();
       engine.submit(
           new EngineModel.Job(
-              request, () -> firstToken(row), answered -> done(row, name, sent, answered)));
+              request,
+              () -> recordFirstToken(row),
+              succeeded -> finishAttempt(row, name, sentAtMillis, succeeded)));
     }
 
-    private void firstToken(UpstreamRow row) {
-      double taken = time.nowMillis() - started;
+    private void recordFirstToken(UpstreamRow row) {
+      double timeToFirstTokenMillis = time.nowMillis() - startedAtMillis;
       row.rememberPrefix(request.prefix());
-      if (counts) {
-        result.firstToken.recordValue((long) Math.min(LONGEST_MILLIS, taken));
-        result.inTime += taken <= request.requestClass().deadlineMillis() ? 1 : 0;
+      if (isMeasured) {
+        result.firstToken.recordValue(
+            (long) Math.min(MAXIMUM_LATENCY_MILLIS, timeToFirstTokenMillis));
+        result.inTime += timeToFirstTokenMillis <= request.requestClass().deadlineMillis() ? 1 : 0;
       }
     }
 
-    private void done(UpstreamRow row, String name, double sent, boolean answered) {
+    private void finishAttempt(
+        UpstreamRow row, String name, double sentAtMillis, boolean succeeded) {
       row.release();
       entry.queue().recordRelease(time.instant());
-      if (answered) {
+      if (succeeded) {
         row.succeeded(time.instant());
         entry.queue().serve(time.instant());
         return;
       }
       row.failed(time.instant());
-      failed.add(name);
-      boolean retries = failed.size() < MAXIMUM_TRIES && entry.retries().takeRetry();
+      failedEngines.add(name);
+      boolean retries = failedEngines.size() < MAXIMUM_ATTEMPTS && entry.retries().takeRetry();
       if (retries) {
         next();
       } else {
-        result.failed += counts ? 1 : 0;
+        result.failed += isMeasured ? 1 : 0;
       }
     }
   }
--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/RolloutBench.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/RolloutBench.java
@@ -9,41 +9,44 @@
 import org.oatlug.internal.rollout.RolloutGuard;
 
 /**
- * Exposure to bad versions with the real sequential tests, and how often they halt good ones.
- * Stateless.
+ * Measures the exposure to bad versions with the production sequential tests and the rate at which
+ * these halt good versions. Stateless.
  */
 final class RolloutBench {
   private static final int INSTANCES = 7;
   private static final int REQUESTS_PER_SECOND = 20;
   private static final int ROLLOUT_SECONDS = 3600;
-  private static final double WEIGHT = 0.1;
-  private static final double CURRENT_ERRORS = 0.01;
-  private static final double CURRENT_MISSES = 0.08;
-  private static final double RATED_SHARE = 0.5;
+  private static final double CANDIDATE_WEIGHT = 0.1;
+  private static final double CURRENT_ERROR_RATE = 0.01;
+  private static final double CURRENT_MISS_RATE = 0.08;
+  private static final double RATED_FRACTION = 0.5;
   private static final int BAD_RUNS = 200;
   private static final int GOOD_RUNS = 1000;
 
   private RolloutBench() {}
 
   /**
-   * What a candidate is like.
+   * A simulated candidate.
    *
-   * @param errors the share of requests that fail
-   * @param misses the share of answers that miss the target
+   * @param errors the fraction of requests that fail
+   * @param misses the fraction of responses that miss the target
    */
   private record Candidate(String name, double errors, double misses) {}
 
   static void run(ArrayNode rows) {
     System.out.printf(
         "%nRoll-outs: one hour at %d requests/s, %.0f%% for the candidate, %d instances%n",
-        REQUESTS_PER_SECOND, WEIGHT * 100, INSTANCES);
+        REQUESTS_PER_SECOND, CANDIDATE_WEIGHT * 100, INSTANCES);
     System.out.printf(
         "%-34s %14s %14s %10s %9s%n", "candidate", "no guard", "with guard", "fewer", "halted");
-    measure(rows, new Candidate("20% errors", 0.20, CURRENT_MISSES), BAD_RUNS);
-    measure(rows, new Candidate("5% errors", 0.05, CURRENT_MISSES), BAD_RUNS);
-    measure(rows, new Candidate("35% miss the target", CURRENT_ERRORS, 0.35), BAD_RUNS);
-    measure(rows, new Candidate("16% miss the target", CURRENT_ERRORS, 0.16), BAD_RUNS);
-    measure(rows, new Candidate("as good as current", CURRENT_ERRORS, CURRENT_MISSES), GOOD_RUNS);
+    measure(rows, new Candidate("20% errors", 0.20, CURRENT_MISS_RATE), BAD_RUNS);
+    measure(rows, new Candidate("5% errors", 0.05, CURRENT_MISS_RATE), BAD_RUNS);
+    measure(rows, new Candidate("35% miss the target", CURRENT_ERROR_RATE, 0.35), BAD_RUNS);
+    measure(rows, new Candidate("16% miss the target", CURRENT_ERROR_RATE, 0.16), BAD_RUNS);
+    measure(
+        rows,
+        new Candidate("as good as current", CURRENT_ERROR_RATE, CURRENT_MISS_RATE),
+        GOOD_RUNS);
     measure(rows, new Candidate("better than current", 0.005, 0.05), GOOD_RUNS);
   }
 
@@ -51,11 +54,11 @@
     double answers = 0;
     int halted = 0;
     for (int run = 0; run < runs; run++) {
-      Exposure exposure = runOnce(candidate, new Random(run));
+      Exposure exposure = simulateRollout(candidate, new Random(run));
       answers += (double) exposure.answers() / runs;
       halted += exposure.halted() ? 1 : 0;
     }
-    double unguarded = REQUESTS_PER_SECOND * ROLLOUT_SECONDS * WEIGHT;
+    double unguarded = REQUESTS_PER_SECOND * ROLLOUT_SECONDS * CANDIDATE_WEIGHT;
     double haltedPercent = 100.0 * halted / runs;
     System.out.printf(
         "%-34s %14.0f %14.1f %9.1fx %8.1f%%%n",
@@ -74,7 +77,7 @@
 
   private record Exposure(int answers, boolean halted) {}
 
-  private static Exposure runOnce(Candidate candidate, Random random) {
+  private static Exposure simulateRollout(Candidate candidate, Random random) {
     CandidateEvidence[] evidence = new CandidateEvidence[INSTANCES];
     boolean[] locallyHalted = new boolean[INSTANCES];
     for (int index = 0; index < INSTANCES; index++) {
@@ -84,33 +87,33 @@
     for (int second = 0; second < ROLLOUT_SECONDS; second++) {
       for (int number = 0; number < REQUESTS_PER_SECOND; number++) {
         int index = random.nextInt(INSTANCES);
-        boolean toCandidate = !locallyHalted[index] && random.nextDouble() < WEIGHT;
+        boolean toCandidate = !locallyHalted[index] && random.nextDouble() < CANDIDATE_WEIGHT;
         answers += toCandidate ? 1 : 0;
         observe(evidence[index], toCandidate, candidate, random);
         locallyHalted[index] |= evidence[index].sufficesForLocalHalt();
       }
-      double sum = 0;
-      for (CandidateEvidence one : evidence) {
-        sum += one.logEvidence();
+      double totalLogEvidence = 0;
+      for (CandidateEvidence instanceEvidence : evidence) {
+        totalLogEvidence += instanceEvidence.logEvidence();
       }
-      if (RolloutGuard.sufficesForGlobalHalt(sum)) {
+      if (RolloutGuard.sufficesForGlobalHalt(totalLogEvidence)) {
         return new Exposure(answers, true);
       }
     }
-    boolean anywhere = false;
-    for (boolean one : locallyHalted) {
-      anywhere |= one;
+    boolean anyHalted = false;
+    for (boolean instanceHalted : locallyHalted) {
+      anyHalted |= instanceHalted;
     }
-    return new Exposure(answers, anywhere);
+    return new Exposure(answers, anyHalted);
   }
 
   private static void observe(
       CandidateEvidence evidence, boolean ofCandidate, Candidate candidate, Random random) {
-    double errors = ofCandidate ? candidate.errors() : CURRENT_ERRORS;
-    double misses = ofCandidate ? candidate.misses() : CURRENT_MISSES;
+    double errors = ofCandidate ? candidate.errors() : CURRENT_ERROR_RATE;
+    double misses = ofCandidate ? candidate.misses() : CURRENT_MISS_RATE;
     boolean failed = random.nextDouble() < errors;
     evidence.add(RolloutGuard.Measure.ERRORS, ofCandidate, failed);
-    if (!failed && random.nextDouble() < RATED_SHARE) {
+    if (!failed && random.nextDouble() < RATED_FRACTION) {
       evidence.add(RolloutGuard.Measure.RATINGS, ofCandidate, random.nextDouble() < misses);
     }
   }
--- a/org.oatlug.entry/src/org/oatlug/entry/GatewayInstance.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/GatewayInstance.java
@@ -47,31 +47,34 @@
 import org.oatlug.platform.StoredObject;
 
 /**
- * One entry instance that serves routed services, wired together on one event loop.
+ * Creates and runs the components of an entry instance that routes services, on one event loop.
  *
- * <p>Invariant: tables and systems are only touched by the event loop of this verticle. A planned
- * stop first stops being ready, goes on accepting while the balancer notices, finishes what it can
- * within the grace and cuts the rest in time for callers to resume it elsewhere.
+ * <p>Invariant: only the event loop of this verticle accesses tables and systems. A planned stop
+ * first reports the instance as not ready, accepts requests until the load balancer has detected
+ * this, completes open requests within the grace period and closes the remaining connections early
+ * enough for callers to resume on another instance.
  */
 final class GatewayInstance extends VerticleBase implements Drainable, SettingsWatcher.Target {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   /**
-   * How often the systems look whether something is due: as long as the least of their intervals,
-   * so that an idle instance seldom wakes up.
+   * The interval between ticks of the systems. It equals their shortest interval, which keeps the
+   * wake-ups of an idle instance rare.
    */
   private static final long TICK_MILLIS = 100;
 
-  /** How often a planned stop looks whether requests are open. */
+  /** The interval at which a planned stop polls the number of open requests. */
   private static final long STOP_POLL_MILLIS = 20;
 
-  /** How long a balancer that asks once a second may take to miss two answers. */
+  /** The maximum time for a load balancer that probes once a second to see two failed probes. */
   private static final Duration BALANCER_LAG = Duration.ofMillis(2300);
 
-  /** What is left of the grace when open requests are cut, so that the process ends in time. */
+  /**
+   * The part of the grace period reserved for closing open requests, so the process ends in time.
+   */
   private static final Duration CUT_BEFORE_END = Duration.ofMillis(400);
 
-  /** How old the configuration may be before this instance calls it stale. */
+  /** The maximum age of a configuration that this instance treats as fresh. */
   private static final Duration FRESHNESS = Duration.ofSeconds(12);
 
   private final DeploymentAdapter adapter;
@@ -115,9 +118,9 @@
     return listen(InspectionServer.create(vertx, meters, this::isReady), components);
   }
 
-  /** Opens the sockets, the callers' one first, and starts the systems. */
+  /** Opens the sockets, beginning with the one for callers, and starts the systems. */
   private Future<?> listen(InspectionServer inspection, GatewayComponents components) {
-    // The callers' server is the first one: it takes over the socket that was opened for it.
+    // The server for callers listens first: it takes over the socket that was opened for it.
     final Future<?> callers = server.listen();
     listener.listen().onFailure(failure -> logger.atSevere().withCause(failure).log("peers"));
     systems.forEach(TickSystem::tick);
@@ -128,26 +131,26 @@
             unused ->
                 inspection.listenForOperators(
                     settings.callers().host(), settings.metrics(), components))
-        .onSuccess(unused -> listens());
+        .onSuccess(unused -> handleListening());
   }
 
-  private void listens() {
+  private void handleListening() {
     listeningAt = Optional.of(clock.instant());
     logger.atInfo().log("instance %s listens", settings.name());
-    noteStarted();
+    logStartIfServing();
   }
 
-  /** Writes the line that ends a start, once the instance listens and knows enough. */
-  private void noteStarted() {
+  /** Logs the end of the start once the instance listens and its readiness gate is open. */
+  private void logStartIfServing() {
     if (servingAt.isPresent() && listeningAt.isPresent()) {
       logger.atInfo().log(
           "instance %s can serve, listening=%d configured=%d millis after its start",
-          settings.name(), millisOfStart(listeningAt.get()), millisOfStart(servingAt.get()));
+          settings.name(), millisSinceStart(listeningAt.get()), millisSinceStart(servingAt.get()));
     }
   }
 
-  private long millisOfStart(Instant moment) {
-    return Duration.between(startedAt, moment).toMillis();
+  private long millisSinceStart(Instant instant) {
+    return Duration.between(startedAt, instant).toMillis();
   }
 
   /** Creates the components of the instance and connects them. */
@@ -207,14 +210,14 @@
             rollouts,
             gathering,
             senders,
-            this::openWhenKnown);
+            this::openGateWhenReady);
     return components;
   }
 
   private ConfigurationSystem configurationSystem(
       Platform platform, PeerNetwork network, Meters meters) {
     return ConfigurationSystem.create(
-        new NotedObjects(),
+        new GateOpeningSink(),
         Freshness.withBound(FRESHNESS),
         platform,
         membership,
@@ -224,8 +227,8 @@
             random,
             meters,
             List.of(
-                // Small ones first, so that a start waits for the orders no longer than for
-                // upstreams.
+                // Small kinds come first, so that a start does not wait longer for roll-outs than
+                // for upstreams.
                 List.of(GatewayKinds.ROUTING),
                 List.of(GatewayKinds.ROLLOUT),
                 List.of(GatewayKinds.EVACUATION),
@@ -244,8 +247,8 @@
         Optional.empty());
   }
 
-  /** The tables; callers that wait go on as soon as what the instance needs is there. */
-  private final class NotedObjects implements ObjectSink {
+  /** Merges objects into the tables and opens the readiness gate once its conditions hold. */
+  private final class GateOpeningSink implements ObjectSink {
     @Override
     public ObjectJoin join() {
       return tables.join();
@@ -253,19 +256,19 @@
 
     @Override
     public List<StoredObject> mergeAll(List<StoredObject> objects, Origin origin) {
-      List<StoredObject> fresh = tables.mergeAll(objects, origin);
-      openWhenKnown();
-      return fresh;
+      List<StoredObject> mergedObjects = tables.mergeAll(objects, origin);
+      openGateWhenReady();
+      return mergedObjects;
     }
   }
 
-  /** Lets callers go on that came before the instance knew enough. */
-  private void openWhenKnown() {
+  /** Starts the waiting requests once the readiness gate opens. */
+  private void openGateWhenReady() {
     if (readinessGate.opens()) {
       servingAt = Optional.of(clock.instant());
       tables.completeInitialRead();
       server.startWaitingRequests();
-      noteStarted();
+      logStartIfServing();
     }
   }
 
@@ -280,8 +283,8 @@
   }
 
   /**
-   * Takes over settings that were read anew: seeds and the grace. Addresses stay until a restart,
-   * because callers and peers are connected to them.
+   * Applies the seeds and the grace period of reloaded settings. Addresses take effect only after a
+   * restart, because callers and peers are connected to them.
    */
   @Override
   public void applySettings(GatewaySettings changed) {
@@ -291,10 +294,10 @@
     }
     context.runOnContext(
         unused -> {
-          boolean same = changed.equals(settings);
+          boolean isUnchanged = changed.equals(settings);
           settings = changed;
           membership.seeds(seedsOf(changed));
-          logger.atInfo().log("settings read anew, %s", same ? "unchanged" : "changed");
+          logger.atInfo().log("settings read anew, %s", isUnchanged ? "unchanged" : "changed");
         });
   }
 
@@ -309,13 +312,13 @@
           membership.leave();
           long grace = settings.bounds().grace().minus(CUT_BEFORE_END).toMillis();
           server.beginShutdown(clock.instant().plusMillis(grace));
-          vertx.setTimer(BALANCER_LAG.toMillis(), timer -> finishOpen(promise));
-          vertx.setTimer(Math.max(1, grace), timer -> endGrace(promise));
+          vertx.setTimer(BALANCER_LAG.toMillis(), timer -> awaitOpenRequests(promise));
+          vertx.setTimer(Math.max(1, grace), timer -> endGracePeriod(promise));
         });
     return promise.future();
   }
 
-  private void finishOpen(Promise<Void> promise) {
+  private void awaitOpenRequests(Promise<Void> promise) {
     server.closeIdleConnections();
     vertx.setPeriodic(
         STOP_POLL_MILLIS,
@@ -327,9 +330,10 @@
         });
   }
 
-  private void endGrace(Promise<Void> promise) {
+  private void endGracePeriod(Promise<Void> promise) {
     logger.atInfo().log(
-        "instance %s ends its grace, %d cut", settings.name(), server.openRequests());
+        "grace period of instance %s ended, closing %d open requests",
+        settings.name(), server.openRequests());
     server.closeAllConnections();
     vertx.setTimer(STOP_POLL_MILLIS, timer -> promise.tryComplete());
   }
--- a/org.oatlug.test/tst/org/oatlug/test/KeptVersionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/KeptVersionTest.java
@@ -38,20 +38,22 @@
 import org.testng.annotations.Test;
 
 /**
- * What becomes of a session's request that failed on a version, or finds no upstream of it.
+ * Checks the version preference for a session whose request failed on a version or found no
+ * upstream of it.
  *
- * <p>A version preference was not binding: a request that failed on the new version went to the old
- * one from evidence 1 on, which a good version reaches in up to one of three roll-outs, and one
- * whose version had no free upstream went to any. Its session had then changed version.
+ * <p>Guards against a session that changes version because the preference does not bind: a request
+ * that fails on the new version then goes to the old one from evidence 1 on, which a good version
+ * reaches in up to one of three roll-outs, and a request whose version has no free upstream goes to
+ * any version.
  */
 public class KeptVersionTest {
-  private static final Duration ORDERED = Duration.ofSeconds(24);
+  private static final Duration ROLLOUT_DURATION = Duration.ofSeconds(24);
 
   private final FakeClock clock = new FakeClock();
   private RolloutDirector director;
 
   @BeforeMethod
-  void order() {
+  void startRollout() {
     GatewayTables tables = GatewayTables.create(clock);
     Member self = new Member("i-1", "z", "i-1", "127.0.0.1", 1, 1, 0, Member.State.ALIVE);
     director =
@@ -64,7 +66,7 @@
             BOUNDS);
     ServiceRollout rollout =
         new ServiceRollout(
-            SERVICE, NEW, StoreRevision.ofNumber(1), ORDERED.toMillis(), Optional.empty());
+            SERVICE, NEW, StoreRevision.ofNumber(1), ROLLOUT_DURATION.toMillis(), Optional.empty());
     ObjectKey key = ObjectKey.valueOf(GatewayKinds.ROLLOUT, SERVICE);
     tables.mergeAll(
         List.of(StoredObject.of(key, StoreRevision.ofNumber(1), Json.STRICT.valueToTree(rollout))));
@@ -87,12 +89,12 @@
     return director.preferenceFor(SERVICE, requestOf(session), priorAttempts).orElseThrow();
   }
 
-  private static PriorAttempts failedAt(String version, VersionPreference first) {
+  private static PriorAttempts priorFailureOn(String version, VersionPreference first) {
     return new PriorAttempts(Optional.of(version), first.basis());
   }
 
-  /** Lets so many answers of the new version fail, which makes it suspicious but not refuted. */
-  private void suspect() {
+  /** Records enough failures of the new version to make it suspicious but not refuted. */
+  private void recordSuspiciousFailures() {
     for (int answer = 0; answer < 6; answer++) {
       director.answered(
           new VersionRule.Answer(SERVICE, OLD, ROUTE, "", false, Duration.ofMillis(50)));
@@ -106,37 +108,37 @@
   @Test
   public void testSessionThatGoesOnAtTheNewVersionStaysThereAfterOneFailure() {
     director.sent(SERVICE, NEW, requestOf("s"));
-    suspect();
+    recordSuspiciousFailures();
     clock.advance(Duration.ofSeconds(1));
     VersionPreference first = preferenceFor("s", PriorAttempts.NOTHING);
     assertTrue(first.isSatisfiedBy(NEW));
     assertEquals(first.firmness(), Firmness.KEPT);
     director.sent(SERVICE, NEW, requestOf("s"));
-    VersionPreference second = preferenceFor("s", failedAt(NEW, first));
+    VersionPreference second = preferenceFor("s", priorFailureOn(NEW, first));
     assertTrue(second.isSatisfiedBy(NEW));
     assertEquals(second.firmness(), Firmness.KEPT);
   }
 
   @Test
   public void testSessionThatBeginsMayGoElsewhereAfterItsFirstFailure() {
-    clock.advance(ORDERED.multipliedBy(8).dividedBy(10));
-    suspect();
+    clock.advance(ROLLOUT_DURATION.multipliedBy(8).dividedBy(10));
+    recordSuspiciousFailures();
     VersionPreference first = preferenceFor("s", PriorAttempts.NOTHING);
     assertTrue(first.isSatisfiedBy(NEW));
     assertEquals(first.firmness(), Firmness.PREFERRED);
     director.sent(SERVICE, NEW, requestOf("s"));
-    VersionPreference second = preferenceFor("s", failedAt(NEW, first));
+    VersionPreference second = preferenceFor("s", priorFailureOn(NEW, first));
     assertFalse(second.isSatisfiedBy(NEW));
   }
 
   @Test
   public void testSessionOfTheOldVersionIsKeptInTheFirstHalfAndMayMoveLater() {
     director.sent(SERVICE, OLD, requestOf("s"));
-    clock.advance(ORDERED.multipliedBy(4).dividedBy(10));
+    clock.advance(ROLLOUT_DURATION.multipliedBy(4).dividedBy(10));
     VersionPreference early = preferenceFor("s", PriorAttempts.NOTHING);
     assertFalse(early.isSatisfiedBy(NEW));
     assertEquals(early.firmness(), Firmness.KEPT);
-    clock.advance(ORDERED.multipliedBy(4).dividedBy(10));
+    clock.advance(ROLLOUT_DURATION.multipliedBy(4).dividedBy(10));
     VersionPreference late = preferenceFor("s", PriorAttempts.NOTHING);
     assertTrue(late.isSatisfiedBy(NEW));
     assertEquals(late.firmness(), Firmness.PREFERRED);
--- a/org.oatlug.test/tst/org/oatlug/test/RolloutFleet.java
+++ b/org.oatlug.test/tst/org/oatlug/test/RolloutFleet.java
@@ -46,39 +46,39 @@
 import org.oatlug.platform.StoredObject;
 
 /**
- * Instances of some availability zones that bring in a version together, in virtual time: the real
- * directors and the real exchange between instances, with a store in memory.
+ * Simulates instances in several availability zones that roll out a version, in virtual time: with
+ * the production roll-out logic, the production exchange between instances and an in-memory store.
  *
- * <p>Objects of the store reach each instance some milliseconds after they are written, or as late
- * as the test says. Instances may be restarted as planned, killed, and started by a clock that is
- * off. Used from one thread.
+ * <p>Objects of the store reach each instance some milliseconds after they are written, or after a
+ * delay set by the test. Instances can be restarted gracefully, killed, and started with a clock
+ * error. Not thread-safe.
  */
 final class RolloutFleet {
   private static final ObjectKey KEY = ObjectKey.valueOf(GatewayKinds.ROLLOUT, SERVICE);
   private static final Duration TICK = Duration.ofMillis(100);
 
-  /** How long the news of the store are on their way. */
-  private static final Duration NEWS = Duration.ofMillis(30);
+  /** The default delay from a write to the store until an instance merges the object. */
+  private static final Duration REPLICATION_DELAY = Duration.ofMillis(30);
 
-  /** How long a process takes from its start until it serves. */
-  private static final Duration START = Duration.ofMillis(1500);
+  /** The time from the start of a process until it serves. */
+  private static final Duration START_DURATION = Duration.ofMillis(1500);
 
-  /** How long a planned stop takes until the process is gone. */
-  private static final Duration STOP = Duration.ofMillis(600);
+  /** The time from the beginning of a planned stop until the process has ended. */
+  private static final Duration STOP_DURATION = Duration.ofMillis(600);
 
-  /** When the others take a killed instance for dead. */
-  private static final Duration DEAD_AFTER = Duration.ofMillis(2800);
+  /** The time after which the other instances consider a killed instance dead. */
+  private static final Duration DEATH_DETECTION_DELAY = Duration.ofMillis(2800);
 
-  private static final int MOST_DELAY_MILLIS = 6;
+  private static final int MAXIMUM_DELAY_MILLIS = 6;
 
   private final VirtualTime time = new VirtualTime();
   private final Random random;
   private final FakePlatform platform = FakePlatform.create();
   private final Map<String, Instance> instances = new TreeMap<>();
-  private final Map<String, Duration> newsDelays = new TreeMap<>();
+  private final Map<String, Duration> replicationDelays = new TreeMap<>();
   private final Map<String, Duration> clockErrors = new TreeMap<>();
   private final Set<String> down = new HashSet<>();
-  private Optional<Instant> orderedAt = Optional.empty();
+  private Optional<Instant> rolloutWrittenAt = Optional.empty();
   private Duration duration = Duration.ZERO;
   private StoreRevision storeRevision = StoreRevision.NONE;
 
@@ -87,7 +87,7 @@
     platform.waitForTest(false);
   }
 
-  /** Starts instances that know each other. */
+  /** Starts instances that have discovered each other. */
   static RolloutFleet of(int zones, int instancesPerZone, long seed) {
     RolloutFleet fleet = new RolloutFleet(seed);
     for (int zone = 0; zone < zones; zone++) {
@@ -95,7 +95,10 @@
         fleet.add("entry-" + zone + "-" + number, "zone-" + zone, 1);
       }
     }
-    fleet.instances.values().forEach(one -> fleet.instances.values().forEach(one::meet));
+    fleet
+        .instances
+        .values()
+        .forEach(instance -> fleet.instances.values().forEach(instance::discover));
     fleet.time.after(TICK, fleet::readStore);
     return fleet;
   }
@@ -126,7 +129,7 @@
       director = RolloutDirector.create(tables, platform, membership, clock, meters, BOUNDS);
       gathering =
           StateExchange.create(
-              membership, this::ask, clock, meters, this, CrashLedger.create(clock));
+              membership, this::sendRequest, clock, meters, this, CrashLedger.create(clock));
       director.onRefuted(gathering::sendReportNow);
       readinessGate =
           ReadinessGate.create(
@@ -147,7 +150,7 @@
       return instances.get(name()) == this && !down.contains(name());
     }
 
-    private void meet(Instance other) {
+    private void discover(Instance other) {
       if (other != this) {
         membership.merge(other.membership.self());
       }
@@ -162,24 +165,24 @@
       }
     }
 
-    private Uni<PeerMessage> ask(Member peer, PeerMessage message, Duration patience) {
+    private Uni<PeerMessage> sendRequest(Member peer, PeerMessage message, Duration timeout) {
       return Uni.createFrom()
           .emitter(
               emitter -> {
-                time.after(patience, () -> emitter.fail(new PeerUnavailableException(peer.name())));
+                time.after(timeout, () -> emitter.fail(new PeerUnavailableException(peer.name())));
                 time.after(
                     delay(),
                     () -> {
                       Instance target = instances.get(peer.name());
                       if (target.isUp()) {
-                        PeerMessage answer = target.gathering.handle(membership.self(), message);
-                        time.after(delay(), () -> emitter.complete(answer));
+                        PeerMessage response = target.gathering.handle(membership.self(), message);
+                        time.after(delay(), () -> emitter.complete(response));
                       }
                     });
               });
     }
 
-    /** Sends a request of the session to the version that the instance wants; returns that. */
+    /** Simulates a request of the session and returns the version that the instance selects. */
     String send(String session) {
       RequestHead head =
           new RequestHead(
@@ -193,9 +196,11 @@
               Optional.empty());
       Optional<VersionRule.VersionPreference> preference =
           director.preferenceFor(SERVICE, head, VersionRule.PriorAttempts.NOTHING);
-      boolean wantsNew =
-          preference.map(one -> one.version().equals(NEW) == one.wanted()).orElse(false);
-      String version = wantsNew ? NEW : OLD;
+      boolean selectsNew =
+          preference
+              .map(preferred -> preferred.version().equals(NEW) == preferred.wanted())
+              .orElse(false);
+      String version = selectsNew ? NEW : OLD;
       director.sent(SERVICE, version, head);
       director.answered(
           new VersionRule.Answer(SERVICE, version, ROUTE, "", false, Duration.ofMillis(50)));
@@ -234,10 +239,10 @@
   }
 
   private Duration delay() {
-    return Duration.ofMillis(1 + random.nextInt(MOST_DELAY_MILLIS));
+    return Duration.ofMillis(1 + random.nextInt(MAXIMUM_DELAY_MILLIS));
   }
 
-  /** Brings what the store holds to all instances. */
+  /** Polls the store and replicates a changed object to all instances. */
   private void readStore() {
     platform
         .get(KEY)
@@ -247,57 +252,59 @@
         .ifPresent(
             object -> {
               storeRevision = object.revision();
-              instances.values().forEach(instance -> bring(instance, object));
+              instances.values().forEach(instance -> replicate(instance, object));
             });
     time.after(Duration.ofMillis(10), this::readStore);
   }
 
-  private void bring(Instance instance, StoredObject object) {
-    Duration wait = newsDelays.getOrDefault(instance.name(), NEWS);
+  private void replicate(Instance instance, StoredObject object) {
+    Duration wait = replicationDelays.getOrDefault(instance.name(), REPLICATION_DELAY);
     time.after(wait, () -> instance.tables.mergeAll(List.of(object)));
   }
 
-  /** Orders the version for the service. */
+  /** Writes the roll-out of the new version to the store. */
   void order(Duration rolloutDuration) {
     duration = rolloutDuration;
-    orderedAt = Optional.of(time.instant());
+    rolloutWrittenAt = Optional.of(time.instant());
     ServiceRollout rollout =
         new ServiceRollout(
             SERVICE, NEW, StoreRevision.ofNumber(1), rolloutDuration.toMillis(), Optional.empty());
     platform.put(KEY, StoreRevision.NONE, Json.STRICT.valueToTree(rollout)).await().indefinitely();
   }
 
-  /** Lets what the store says reach an instance later than the others. */
+  /** Sets the replication delay from the store to an instance. */
   void delayStoreUpdates(String name, Duration delay) {
-    newsDelays.put(name, delay);
+    replicationDelays.put(name, delay);
   }
 
-  /** Lets the next start of an instance be by a clock that is off. */
+  /** Sets the clock error with which an instance starts next. */
   void setClockError(String name, Duration error) {
     clockErrors.put(name, error);
   }
 
-  /** Starts an instance anew, at once, by a clock that is off. */
+  /** Restarts an instance immediately with a clock error. */
   void restartWithClockError(String name, Duration error) {
     setClockError(name, error);
     replace(instances.get(name));
   }
 
-  /** Stops an instance as planned and starts it again. */
+  /** Stops an instance gracefully and starts it again. */
   void restart(String name) {
     Instance instance = instances.get(name);
     instance.membership.leave();
-    others(instance).forEach(other -> other.meet(instance));
-    time.after(STOP, () -> down.add(name));
-    time.after(STOP.plus(START), () -> replace(instance));
+    others(instance).forEach(other -> other.discover(instance));
+    time.after(STOP_DURATION, () -> down.add(name));
+    time.after(STOP_DURATION.plus(START_DURATION), () -> replace(instance));
   }
 
-  /** Kills an instance for good; the others find out by themselves. */
+  /** Kills an instance permanently; the others consider it dead only after a delay. */
   void kill(String name) {
     Instance instance = instances.get(name);
     down.add(name);
     Member dead = instance.membership.self().withState(Member.State.DEAD);
-    time.after(DEAD_AFTER, () -> others(instance).forEach(other -> other.membership.merge(dead)));
+    time.after(
+        DEATH_DETECTION_DELAY,
+        () -> others(instance).forEach(other -> other.membership.merge(dead)));
   }
 
   private void replace(Instance before) {
@@ -305,13 +312,13 @@
     down.remove(self.name());
     Instance started = add(self.name(), self.zone(), self.epoch() + 1);
     for (Instance other : others(started)) {
-      other.meet(started);
-      started.meet(other);
+      other.discover(started);
+      started.discover(other);
     }
-    platform.get(KEY).await().indefinitely().ifPresent(object -> bringNow(started, object));
+    platform.get(KEY).await().indefinitely().ifPresent(object -> mergeObject(started, object));
   }
 
-  private static void bringNow(Instance instance, StoredObject object) {
+  private static void mergeObject(Instance instance, StoredObject object) {
     instance.tables.mergeAll(List.of(object));
   }
 
@@ -319,7 +326,7 @@
     return instances.values().stream().filter(other -> other != instance).toList();
   }
 
-  /** Returns the instances that take requests. */
+  /** Returns the instances that accept requests. */
   List<Instance> serving() {
     List<Instance> serving = new ArrayList<>();
     for (Instance instance : instances.values()) {
@@ -335,15 +342,15 @@
     return List.copyOf(instances.keySet());
   }
 
-  /** Returns the part of the duration that has passed since the store took the order. */
+  /** Returns the fraction of the roll-out duration that has passed since it was written. */
   double elapsedFraction() {
-    return orderedAt
+    return rolloutWrittenAt
         .map(at -> (double) Duration.between(at, time.instant()).toMillis() / duration.toMillis())
         .orElse(0.0);
   }
 
   boolean isOrdered() {
-    return orderedAt.isPresent();
+    return rolloutWrittenAt.isPresent();
   }
 
   VirtualTime time() {
--- a/org.oatlug.test/tst/org/oatlug/test/RolloutRaceTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/RolloutRaceTest.java
@@ -41,16 +41,16 @@
 import org.oatlug.platform.StoredObject;
 
 /**
- * Shows that an end of a roll-out is never changed, although several instances write it at once,
- * see different answers, and lose the replies to their writes.
+ * Checks that the final state of a roll-out never changes when several instances write it
+ * concurrently, observe different responses and lose the replies to their writes.
  */
 class RolloutRaceTest {
   private static final String SEED = "20261202";
   private static final ObjectKey KEY = ObjectKey.valueOf(GatewayKinds.ROLLOUT, SERVICE);
   private static final int INSTANCES = 3;
-  private static final Duration STEP = Duration.ofMillis(300);
+  private static final Duration TICK_INTERVAL = Duration.ofMillis(300);
 
-  /** One instance; it knows of no other one, so that each believes to have the duty. */
+  /** An instance without known peers, so that each considers itself responsible for writes. */
   private static final class Instance {
     private final GatewayTables tables = GatewayTables.create(Instant::now);
     private final RolloutDirector director;
@@ -68,7 +68,7 @@
               BOUNDS);
     }
 
-    void sees(String version, boolean failed, int count) {
+    void recordResponses(String version, boolean failed, int count) {
       for (int answer = 0; answer < count; answer++) {
         director.answered(
             new VersionRule.Answer(SERVICE, version, ROUTE, "", failed, Duration.ofMillis(50)));
@@ -80,7 +80,7 @@
   private FakePlatform platform;
   private List<Instance> instances;
 
-  private void begin(FakePlatform store) {
+  private void startRollout(FakePlatform store) {
     clock = new FakeClock();
     platform = store;
     instances = new ArrayList<>();
@@ -94,8 +94,8 @@
     instances.forEach(this::read);
   }
 
-  /** Reads the store at once, whatever calls wait. */
-  private StoredObject stored() {
+  /** Reads the store immediately, regardless of pending calls. */
+  private StoredObject readStoredObject() {
     platform.waitForTest(false);
     StoredObject object = platform.get(KEY).await().indefinitely().orElseThrow();
     platform.waitForTest(true);
@@ -104,30 +104,30 @@
 
   private Optional<State> state() {
     try {
-      return Json.STRICT.treeToValue(stored().value(), ServiceRollout.class).state();
+      return Json.STRICT.treeToValue(readStoredObject().value(), ServiceRollout.class).state();
     } catch (JsonProcessingException e) {
       throw new IllegalStateException(e);
     }
   }
 
   private void read(Instance instance) {
-    instance.tables.mergeAll(List.of(stored()));
+    instance.tables.mergeAll(List.of(readStoredObject()));
   }
 
   private static boolean isFinal(Optional<State> state) {
     return state.isPresent() && state.get() != State.RUNNING;
   }
 
-  private void step(int action, Random random) {
-    Instance one = instances.get(random.nextInt(INSTANCES));
+  private void performAction(int action, Random random) {
+    Instance selected = instances.get(random.nextInt(INSTANCES));
     switch (action) {
-      case 0 -> one.sees(NEW, false, 12);
-      case 1 -> one.sees(NEW, true, 4);
-      case 2 -> one.sees(OLD, false, 12);
-      case 3 -> read(one);
+      case 0 -> selected.recordResponses(NEW, false, 12);
+      case 1 -> selected.recordResponses(NEW, true, 4);
+      case 2 -> selected.recordResponses(OLD, false, 12);
+      case 3 -> read(selected);
       case 4, 5 -> deliver(random, action == 5);
       default -> {
-        clock.advance(STEP);
+        clock.advance(TICK_INTERVAL);
         instances.forEach(instance -> instance.director.tick());
       }
     }
@@ -142,34 +142,36 @@
   @Property(seed = SEED, tries = 300)
   void testEndOfRolloutIsNeverChanged(
       @ForAll @Size(max = 120) List<@IntRange(min = 0, max = 9) Integer> actions,
-      @ForAll @IntRange(min = 0, max = 100_000) int chance) {
-    begin(FakePlatform.create());
-    Random random = new Random(chance);
-    Optional<State> before = state();
+      @ForAll @IntRange(min = 0, max = 100_000) int randomSeed) {
+    startRollout(FakePlatform.create());
+    Random random = new Random(randomSeed);
+    Optional<State> previousState = state();
     for (int action : actions) {
-      step(action, random);
-      Optional<State> now = state();
-      if (isFinal(before)) {
-        assertEquals(now, before);
+      performAction(action, random);
+      Optional<State> currentState = state();
+      if (isFinal(previousState)) {
+        assertEquals(currentState, previousState);
       }
-      before = now;
+      previousState = currentState;
     }
-    assertTrue(endsAlike(), "all instances know the same end");
+    assertTrue(
+        reachesSameFinalState(), "the instances disagree on the final state of the roll-out");
   }
 
-  /** Lets all writes through until the roll-out has ended, and compares what instances do then. */
-  private boolean endsAlike() {
+  /** Delivers all writes until the roll-out ends, then compares the instances' preferences. */
+  private boolean reachesSameFinalState() {
     for (int round = 0; round < 40 && !isFinal(state()); round++) {
-      clock.advance(STEP);
+      clock.advance(TICK_INTERVAL);
       instances.forEach(instance -> instance.director.tick());
       platform.deliverAll();
       instances.forEach(this::read);
     }
     platform.deliverAll();
     instances.forEach(this::read);
-    State end = state().orElseThrow();
-    boolean wanted = end == State.SUCCEEDED;
-    return instances.stream().allMatch(instance -> preferenceOf(instance).wanted() == wanted);
+    State finalState = state().orElseThrow();
+    boolean expectedPreference = finalState == State.SUCCEEDED;
+    return instances.stream()
+        .allMatch(instance -> preferenceOf(instance).wanted() == expectedPreference);
   }
 
   private static VersionRule.VersionPreference preferenceOf(Instance instance) {
