--- a/org.oatlug/src/org/oatlug/internal/crash/CrashLedger.java
+++ b/org.oatlug/src/org/oatlug/internal/crash/CrashLedger.java
@@ -39,7 +39,7 @@
   /** Several times the requests open at the upstreams that crash within {@link #VALIDITY}. */
   static final int MAXIMUM_REQUESTS = 1024;
 
-  /** The number of crashes from which a request runs alone. */
+  /** The number of crashes from which a request runs alone on an upstream. */
   private static final int SUSPECT_CRASHES = 2;
 
   /** The number of consecutive crashes from which a request is refused. */
@@ -68,7 +68,7 @@
   public enum Verdict {
     /** It has no crashes, or too few to restrict it. */
     CLEAR,
-    /** It runs alone on an upstream, with a single attempt. */
+    /** It runs alone on an upstream, with a single attempt for each try of its caller. */
     SUSPECT,
     /** It is refused. */
     REFUSED
@@ -112,10 +112,10 @@
 
   /** Returns the current verdict on a request. */
   public Verdict verdict(String fingerprint) {
-    return find(fingerprint).map(CrashLedger::judge).orElse(Verdict.CLEAR);
+    return find(fingerprint).map(CrashLedger::verdictOf).orElse(Verdict.CLEAR);
   }
 
-  private static Verdict judge(CrashedRuns runs) {
+  private static Verdict verdictOf(CrashedRuns runs) {
     if (runs.consecutiveCrashes() >= REFUSED_CONSECUTIVE_CRASHES) {
       return Verdict.REFUSED;
     }
@@ -132,7 +132,7 @@
     return Optional.ofNullable(runs);
   }
 
-  /** Returns whether the request runs alone if it also crashes the given upstream process. */
+  /** Returns whether the request would run alone if it also crashed the given process. */
   public boolean wouldBeSuspect(String fingerprint, String process) {
     return find(fingerprint)
         .map(runs -> runs.crashesExcept(process) + 1 >= SUSPECT_CRASHES)
@@ -165,7 +165,7 @@
       String fingerprint, String subject, String process, Instant startedAt, Instant crashedAt) {
     CrashedRuns runs = getOrCreate(fingerprint, subject);
     if (runs.add(process, startedAt, crashedAt)) {
-      changed(fingerprint, runs, "observed by this instance");
+      recordChange(fingerprint, runs, "observed by this instance");
     }
   }
 
@@ -184,7 +184,7 @@
     Optional<CrashedRuns> existing = find(fingerprint);
     boolean cleared = existing.map(runs -> runs.clear(clock.instant())).orElse(false);
     if (cleared) {
-      changed(fingerprint, existing.get(), reason);
+      recordChange(fingerprint, existing.get(), reason);
     }
     return cleared;
   }
@@ -210,13 +210,13 @@
         .ifPresent(evicted -> requests.remove(evicted.getKey()));
   }
 
-  private void changed(String fingerprint, CrashedRuns runs, String reason) {
+  private void recordChange(String fingerprint, CrashedRuns runs, String reason) {
     Optional.ofNullable(completed.get(fingerprint)).ifPresent(runs::clear);
-    Verdict verdict = judge(runs);
-    Verdict before = runs.update(verdict, ++revision);
+    Verdict verdict = verdictOf(runs);
+    Verdict previous = runs.update(verdict, ++revision);
     if (verdict != Verdict.CLEAR) {
       lastSuspectRevision = revision;
-    } else if (before == Verdict.CLEAR) {
+    } else if (previous == Verdict.CLEAR) {
       return;
     }
     logger.atInfo().atMostEvery(LOG_PERIOD_MILLIS, TimeUnit.MILLISECONDS).log(
@@ -229,7 +229,7 @@
     return revision;
   }
 
-  /** Returns the revision of the last change of a request that is not clear. */
+  /** Returns the revision of the last change of a request with a verdict other than clear. */
   public long lastSuspectRevision() {
     return lastSuspectRevision;
   }
@@ -276,7 +276,7 @@
       isNew |= runs.clear(now.minusMillis(record.clearedAgeMillis()));
     }
     if (isNew) {
-      changed(record.fingerprint(), runs, "reported by " + from);
+      recordChange(record.fingerprint(), runs, "reported by " + from);
     }
   }
 
--- a/org.oatlug/src/org/oatlug/internal/crash/CrashedRuns.java
+++ b/org.oatlug/src/org/oatlug/internal/crash/CrashedRuns.java
@@ -41,10 +41,10 @@
 
   /** Sets the verdict and the revision after a change; returns the previous verdict. */
   Verdict update(Verdict newVerdict, long newRevision) {
-    Verdict before = verdict;
+    Verdict previous = verdict;
     verdict = newVerdict;
     revision = newRevision;
-    return before;
+    return previous;
   }
 
   /** Adds a run and evicts the oldest if full; returns whether the run is new and kept. */
@@ -63,12 +63,12 @@
 
   /** Clears all crashes up to a moment; returns whether any of them counted before. */
   boolean clear(Instant moment) {
-    boolean isCleared =
+    boolean clearsAny =
         runs.values().stream().anyMatch(run -> isCounted(run) && !isAfter(run, moment));
-    if (isCleared) {
+    if (clearsAny) {
       clearedAt = Optional.of(moment);
     }
-    return isCleared;
+    return clearsAny;
   }
 
   private boolean isCounted(Run run) {
--- a/org.oatlug/src/org/oatlug/internal/crash/RequestFingerprint.java
+++ b/org.oatlug/src/org/oatlug/internal/crash/RequestFingerprint.java
@@ -13,8 +13,8 @@
  * Identifies a request across the retries of its caller, equally on every instance.
  *
  * <p>The fingerprint covers host, path with query, workspace and body, but not the id, the
- * deadline, the session or other headers, which change with each attempt. 128 bits of SHA-256 keep
- * a caller from forging the fingerprint of another caller's request. Stateless, thread-safe.
+ * deadline, the session or other headers, which change with each try. 128 bits of SHA-256 keep a
+ * caller from forging the fingerprint of another caller's request. Stateless, thread-safe.
  */
 public final class RequestFingerprint {
   private static final int BYTES = 16;
--- a/org.oatlug/src/org/oatlug/internal/engine/PrefillEstimates.java
+++ b/org.oatlug/src/org/oatlug/internal/engine/PrefillEstimates.java
@@ -14,13 +14,13 @@
 
 /**
  * Estimates the prefill times of engines from their responses: a linear function for each model,
- * and a factor for each upstream by which it is slower than its models.
+ * and a factor for each upstream by which it is slower than the estimates of its models.
  *
  * <p>Invariants: an engine without measurements counts as slow, so that prompts are spread; a model
- * that neither this instance nor a peer measured counts as slow as the slowest measured model; the
- * factor of an upstream that receives no requests decays, so that it is tried again. Memory is
- * bounded by {@link #MAXIMUM_MODELS} and {@link #MAXIMUM_UPSTREAMS}. Owned by one event loop, not
- * thread-safe.
+ * that neither this instance nor a peer measured counts as slow as the slowest model that this
+ * instance measured, and at least as slow as {@link #UNMEASURED}; the factor of an upstream that
+ * receives no requests decays, so that it receives requests again. Memory is bounded by {@link
+ * #MAXIMUM_MODELS} and {@link #MAXIMUM_UPSTREAMS}. Owned by one event loop, not thread-safe.
  */
 public final class PrefillEstimates {
   /** The maximum models remembered: several times those in use at the design size. */
@@ -147,10 +147,10 @@
 
   private void updateSlowness(String upstream, double logarithm, Instant now) {
     double bounded = Math.max(-MAXIMUM_LOGARITHM, Math.min(MAXIMUM_LOGARITHM, logarithm));
-    Slowness before = upstreams.get(upstream);
-    double logarithmBefore = before == null ? 0 : before.at(now);
+    Slowness previous = upstreams.get(upstream);
+    double previousLogarithm = previous == null ? 0 : previous.at(now);
     // The forecast already includes the known slowness, so the observed ratio is added to it.
-    double sum = logarithmBefore + WEIGHT * bounded;
+    double sum = previousLogarithm + WEIGHT * bounded;
     double updated = Math.max(-MAXIMUM_LOGARITHM, Math.min(MAXIMUM_LOGARITHM, sum));
     upstreams.put(upstream, new Slowness(updated, now));
   }
--- a/org.oatlug/src/org/oatlug/internal/engine/UpstreamCaller.java
+++ b/org.oatlug/src/org/oatlug/internal/engine/UpstreamCaller.java
@@ -24,7 +24,7 @@
 import org.oatlug.internal.limit.RetryAfter;
 
 /**
- * Sends one attempt to one upstream over HTTP.
+ * Sends one attempt to an upstream over HTTP.
  *
  * <p>Invariant: a failure carries the progress of the attempt. A request that must not be repeated
  * uses a connection of its own, because the upstream may have closed a pooled connection, which
@@ -91,7 +91,7 @@
 
     /**
      * Returns an attempt that is sent only if it is still valid once its connection is open,
-     * because the upstream may begin to leave, or the version may be withdrawn, while it connects.
+     * because the upstream may start to drain, or the version may be withdrawn, while it connects.
      */
     public static Attempt validWhile(BooleanSupplier isValid) {
       return new Attempt(isValid);
--- a/org.oatlug/src/org/oatlug/internal/gather/CrashReplication.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/CrashReplication.java
@@ -18,7 +18,7 @@
  * process had received are not lost. Owned by one event loop, not thread-safe.
  */
 final class CrashReplication {
-  /** Bounds the peers: the instances of the own zone and the collectors of the others. */
+  /** Bounds the peers: the instances of this zone and the collectors of the other zones. */
   private static final int MAXIMUM_PROCESSES = 1024;
 
   private final CrashLedger ledger;
@@ -50,7 +50,7 @@
     acknowledgedRevisions.merge(peer.process(), sent.upTo(), Math::max);
   }
 
-  /** Returns the revision of the peer up to which this instance has read. */
+  /** Returns the revision up to which this instance has read the ledger of the peer. */
   long readRevision(Member peer) {
     return readRevisions.getOrDefault(peer.process(), 0L);
   }
--- a/org.oatlug/src/org/oatlug/internal/gather/PendingSessions.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/PendingSessions.java
@@ -27,7 +27,7 @@
   private static final int MAXIMUM_BATCH = 1024;
 
   private final Deque<Pending> queue = new ArrayDeque<>();
-  private long last;
+  private long lastNumber;
 
   /** A session, its sequence number, and the instant to which its age refers. */
   private record Pending(long number, SessionObservation session, Instant addedAt) {
@@ -54,7 +54,7 @@
 
   /** Adds sessions whose ages refer to {@code now}. */
   void add(List<SessionObservation> sessions, Instant now) {
-    sessions.forEach(session -> queue.addLast(new Pending(++last, session, now)));
+    sessions.forEach(session -> queue.addLast(new Pending(++lastNumber, session, now)));
     while (queue.size() > MAXIMUM_PENDING) {
       queue.removeFirst();
     }
--- a/org.oatlug/src/org/oatlug/internal/gather/ReportAggregator.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/ReportAggregator.java
@@ -16,20 +16,20 @@
  * other zones.
  *
  * <p>Load pattern: the report of every instance changes several times a second, and each instance
- * needs the sum of all others. Sent from each to each, the number of messages is quadratic in the
- * number of instances; through collectors each instance sends and receives one. Invariants: an
- * instance and a zone count once, with their latest report; if no further report arrives, its
- * pending prompts count for {@link PrefillBacklog#VALIDITY} and its evidence for {@link
- * #EVIDENCE_VALID}. Owned by one event loop, not thread-safe.
+ * needs the sum of all others. If each sent its report to all others, the number of messages would
+ * be quadratic in the number of instances; through collectors each instance sends and receives one.
+ * Invariants: each instance and each zone counts once, with its latest report; if no further report
+ * arrives, its pending prompts count for {@link PrefillBacklog#VALIDITY} and its evidence for
+ * {@link #EVIDENCE_VALID}. Owned by one event loop, not thread-safe.
  */
 final class ReportAggregator {
-  /** Bounds the instances of a zone at the design size and those replaced within a day. */
+  /** Bounds the instances of a zone at the design size, with those replaced within a day. */
   private static final int MAXIMUM_INSTANCES = 1024;
 
   /** Several times the number of availability zones at the design size. */
   private static final int MAXIMUM_ZONES = 64;
 
-  /** The interval of unchanged reports, short enough that pending prompts do not expire. */
+  /** The interval between unchanged reports, short enough that pending prompts do not expire. */
   static final Duration REFRESH_INTERVAL = PrefillBacklog.VALIDITY.dividedBy(4);
 
   /** The time for which evidence of a stopped instance or a partitioned zone is retained. */
@@ -57,27 +57,27 @@
     return new ReportAggregator();
   }
 
-  /** Stores the report of an instance of the own zone; the process name includes its epoch. */
+  /** Stores the report of an instance of this zone; the process name includes its epoch. */
   void putInstance(String process, StateReport report, Instant now) {
-    instances.merge(process, new Received(report, now), ReportAggregator::latest);
+    instances.merge(process, new Received(report, now), ReportAggregator::join);
   }
 
   /** Stores the aggregated report of another zone. */
   void putZone(String zone, StateReport report, Instant now) {
-    zones.merge(zone, new Received(report, now), ReportAggregator::latest);
+    zones.merge(zone, new Received(report, now), ReportAggregator::join);
   }
 
-  private static Received latest(Received previous, Received current) {
+  private static Received join(Received previous, Received current) {
     return new Received(current.report().joinEarlier(previous.report()), current.receivedAt());
   }
 
-  /** Returns the aggregate of the own zone. */
+  /** Returns the aggregate of this zone. */
   StateReport sumOfZone(Instant now) {
     return StateReport.sumOf(
         instances.values().stream().map(received -> received.asOf(now)).toList());
   }
 
-  /** Returns the aggregate of all zones without one process. */
+  /** Returns the aggregate of all zones without the given process. */
   StateReport sumExcept(String process, Instant now) {
     List<StateReport> reports = new ArrayList<>();
     for (Map.Entry<String, Received> entry : instances.entrySet()) {
--- a/org.oatlug/src/org/oatlug/internal/gather/SessionLog.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/SessionLog.java
@@ -35,8 +35,8 @@
   private static final Duration RETENTION = Duration.ofSeconds(30);
 
   private final NavigableMap<Long, Entry> entries = new TreeMap<>();
-  private final Map<Key, Long> numbers = new HashMap<>();
-  private long last;
+  private final Map<Key, Long> numberByKey = new HashMap<>();
+  private long lastNumber;
 
   private record Key(String service, long session) {}
 
@@ -61,7 +61,7 @@
     return new SessionLog();
   }
 
-  /** Adds sessions that an instance of the own zone, or another zone, reported. */
+  /** Adds sessions that an instance of this zone, or another zone, reported. */
   void add(List<SessionObservation> sessions, boolean ofOwnZone, Instant now) {
     for (SessionObservation session : sessions) {
       if (session.isValid()) {
@@ -74,7 +74,7 @@
   private void add(SessionObservation session, boolean ofOwnZone, Instant now) {
     Key key = new Key(session.service(), session.session());
     Entry entry = new Entry(key, session.version(), session.seenAt(now), ofOwnZone);
-    Optional<Long> previous = Optional.ofNullable(numbers.get(key));
+    Optional<Long> previous = Optional.ofNullable(numberByKey.get(key));
     if (previous
         .map(entries::get)
         .filter(logged -> logged.seenAt().isAfter(entry.seenAt()))
@@ -82,8 +82,8 @@
       return;
     }
     previous.ifPresent(entries::remove);
-    entries.put(++last, entry);
-    numbers.put(key, last);
+    entries.put(++lastNumber, entry);
+    numberByKey.put(key, lastNumber);
   }
 
   private void evict(Instant now) {
@@ -94,13 +94,13 @@
         return;
       }
       entries.pollFirstEntry();
-      numbers.remove(oldest.key());
+      numberByKey.remove(oldest.key());
     }
   }
 
   /** Returns the sequence number of the latest entry. */
   long last() {
-    return last;
+    return lastNumber;
   }
 
   /** Returns the sessions after a sequence number. */
@@ -108,14 +108,14 @@
     return read(number, false, now);
   }
 
-  /** Returns the sessions after a sequence number that the own zone reported. */
+  /** Returns the sessions after a sequence number that this zone reported. */
   Batch ofOwnZoneAfter(long number, Instant now) {
     return read(number, true, now);
   }
 
   private Batch read(long number, boolean ofOwnZoneOnly, Instant now) {
     List<SessionObservation> sessions = new ArrayList<>();
-    long upTo = Math.min(number, last);
+    long upTo = Math.min(number, lastNumber);
     for (Map.Entry<Long, Entry> entry : entries.tailMap(number, false).entrySet()) {
       if (sessions.size() >= MAXIMUM_READ) {
         break;
--- a/org.oatlug/src/org/oatlug/internal/gather/StateExchange.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/StateExchange.java
@@ -25,21 +25,24 @@
  * zones.
  *
  * <p>Each message carries the whole report, so the next message replaces one that is lost.
- * Invariants: an instance has at most one outstanding request to its collector and an interval of
- * requests that grows with the zone, so that the request rate of a collector is bounded; nothing is
- * sent while the report is unchanged and the last one has not expired; evidence against a version
- * is sent at the next tick, and its refutation at once. Owned by one event loop, not thread-safe.
+ * Invariants: an instance has at most one outstanding request to its collector and an interval
+ * between requests that grows with the zone, so that the request rate of a collector is bounded;
+ * nothing is sent while the report is unchanged and the last one has not expired; evidence against
+ * a version is sent at the next tick, and its refutation at once. Owned by one event loop, not
+ * thread-safe.
  */
 public final class StateExchange implements TickSystem {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** The minimum interval of requests: a fraction of the time for which a prompt is pending. */
+  /**
+   * The minimum interval between requests: a fraction of the time for which a prompt is pending.
+   */
   private static final Duration MINIMUM_INTERVAL = Duration.ofMillis(100);
 
-  /** The interval per instance of the zone, which limits a collector to 100 requests a second. */
+  /** The interval for each instance of the zone; limits a collector to 100 requests a second. */
   private static final Duration INTERVAL_PER_INSTANCE = Duration.ofMillis(10);
 
-  /** The interval of reports while no prompt is pending and no version is being rolled out. */
+  /** The interval between reports while no prompt is pending and no version is being rolled out. */
   private static final Duration IDLE_REFRESH = Duration.ofSeconds(1);
 
   /** The timeout of a request: many times the latency between zones. */
@@ -48,7 +51,7 @@
   /** The time within which a new instance receives the state of the collectors of all zones. */
   private static final Duration INITIAL_EXCHANGE = Duration.ofMillis(600);
 
-  /** The minimum interval of log lines on rejected reports, in seconds. */
+  /** The minimum interval between log lines on rejected reports, in seconds. */
   private static final int REJECTION_LOG_SECONDS = 1;
 
   private final Membership membership;
@@ -62,14 +65,14 @@
   private final PendingSessions pendingSessions = PendingSessions.create();
   private final ZoneReplication zoneReplication = ZoneReplication.create(sessions);
   private final CrashLedger ledger;
-  private final CrashReplication crashes;
+  private final CrashReplication crashReplication;
   private StateReport lastReport = StateReport.EMPTY;
   private Instant reportedAt = Instant.EPOCH;
   private Optional<Instant> startedAt = Optional.empty();
-  private boolean informed;
+  private boolean receivedRecords;
   private boolean requestOutstanding;
   private String collectorProcess = "";
-  private long readUpTo;
+  private long sessionsReadUpTo;
   private long pushedRefuted;
   private long pushedCrashRevision;
 
@@ -86,7 +89,7 @@
     this.meters = meters;
     this.participant = participant;
     this.ledger = ledger;
-    this.crashes = CrashReplication.of(ledger);
+    this.crashReplication = CrashReplication.of(ledger);
     this.collectors = ZoneCollectors.of(membership, clock);
   }
 
@@ -115,7 +118,7 @@
     if (remoteCollector.isEmpty()) {
       collect(own, now);
     } else if (!requestOutstanding
-        && (crashes.isBehind(remoteCollector.get()) || isDue(own, now))) {
+        && (crashReplication.isBehind(remoteCollector.get()) || isDue(own, now))) {
       sendReport(remoteCollector.get(), own, now);
     }
   }
@@ -131,7 +134,7 @@
    * informed collector, or has run for long enough to have received them from all.
    */
   public boolean hasSessionRecords() {
-    return informed || hasInitialExchange();
+    return receivedRecords || hasInitialExchange();
   }
 
   /** Returns whether this instance has run for long enough to have received all reports. */
@@ -165,10 +168,14 @@
     lastReport = own;
     reportedAt = now;
     PendingSessions.Batch batch = pendingSessions.nextBatch(now);
-    CrashUpdate crashChanges = crashes.changesFor(peer);
+    CrashUpdate crashChanges = crashReplication.changesFor(peer);
     PeerMessage request =
         new PeerMessage.InstanceAccount(
-            lastReport, batch.sessions(), readUpTo, crashChanges, crashes.readRevision(peer));
+            lastReport,
+            batch.sessions(),
+            sessionsReadUpTo,
+            crashChanges,
+            crashReplication.readRevision(peer));
     network
         .ask(peer, request, TIMEOUT)
         .subscribe()
@@ -180,13 +187,15 @@
             failure -> reportFailed(peer, failure));
   }
 
-  /** Returns whether the collector changed; the log of a new one is read from its start. */
+  /**
+   * Sets the collector, reading the log of a new one from its start; returns whether it changed.
+   */
   private boolean changeCollector(String process) {
     if (process.equals(collectorProcess)) {
       return false;
     }
     collectorProcess = process;
-    readUpTo = 0;
+    sessionsReadUpTo = 0;
     return true;
   }
 
@@ -195,8 +204,8 @@
     collectors.responded(peer);
     pendingSessions.acknowledge(batch);
     if (response instanceof PeerMessage.FleetAccount fleet && isValid(peer, fleet.others())) {
-      readUpTo = fleet.sessionsUpTo();
-      informed |= fleet.informed();
+      sessionsReadUpTo = fleet.sessionsUpTo();
+      receivedRecords |= fleet.informed();
       participant.applyReported(fleet.others());
       participant.applyReportedSessions(validOf(fleet.seen()));
     }
@@ -204,8 +213,8 @@
 
   private void mergeCrashes(Member peer, CrashUpdate sent, PeerMessage response) {
     if (response instanceof PeerMessage.FleetAccount fleet) {
-      crashes.acknowledged(peer, sent);
-      crashes.mergeResponse(peer, fleet.crashes());
+      crashReplication.acknowledged(peer, sent);
+      crashReplication.mergeResponse(peer, fleet.crashes());
     }
   }
 
@@ -243,8 +252,8 @@
       reportedAt = now;
       participant.applyReported(aggregator.sumExcept(self, now));
     }
-    SessionLog.Batch unread = sessions.after(readUpTo, now);
-    readUpTo = unread.upTo();
+    SessionLog.Batch unread = sessions.after(sessionsReadUpTo, now);
+    sessionsReadUpTo = unread.upTo();
     participant.applyReportedSessions(unread.sessions());
     replicateToZones(now);
     pushRefuted(now);
@@ -270,13 +279,13 @@
     StateReport own = aggregator.sumOfZone(now);
     for (Member peer : collectors.ofOtherZones()) {
       zoneReplication
-          .updateFor(peer, own, crashes.isBehind(peer), now)
+          .updateFor(peer, own, crashReplication.isBehind(peer), now)
           .ifPresent(update -> replicateToZone(peer, update));
     }
   }
 
   private void replicateToZone(Member peer, ZoneReplication.Update update) {
-    CrashUpdate crashChanges = crashes.changesFor(peer);
+    CrashUpdate crashChanges = crashReplication.changesFor(peer);
     PeerMessage message =
         new PeerMessage.ZoneAccount(
             membership.self().zone(), update.report(), update.sessions(), crashChanges);
@@ -287,7 +296,7 @@
             response -> {
               collectors.responded(peer);
               if (response instanceof PeerMessage.Done) {
-                crashes.acknowledged(peer, crashChanges);
+                crashReplication.acknowledged(peer, crashChanges);
               }
             },
             failure -> {
@@ -318,11 +327,11 @@
 
   /**
    * Handles the report of an instance of the zone or of another zone's collector, or a push of the
-   * own collector.
+   * collector of this zone.
    */
   public PeerMessage handle(Member from, PeerMessage message) {
     if (message instanceof PeerMessage.Crashes pushed && pushed.changes() != null) {
-      crashes.mergePushed(from, pushed.changes());
+      crashReplication.mergePushed(from, pushed.changes());
       return new PeerMessage.Done();
     }
     if (message instanceof PeerMessage.InstanceAccount instance) {
@@ -346,7 +355,7 @@
     Instant now = clock.instant();
     aggregator.putInstance(from.process(), instance.account(), now);
     sessions.add(instance.seen(), true, now);
-    crashes.mergePushed(from, instance.crashes());
+    crashReplication.mergePushed(from, instance.crashes());
     if (instance.account().refuted() > pushedRefuted) {
       replicateToZones(now);
       pushRefuted(now);
@@ -369,7 +378,7 @@
     Instant now = clock.instant();
     aggregator.putZone(zone.zone(), zone.account(), now);
     sessions.add(zone.seen(), false, now);
-    crashes.mergePushed(from, zone.crashes());
+    crashReplication.mergePushed(from, zone.crashes());
     if (zone.account().refuted() > pushedRefuted) {
       pushRefuted(now);
     }
--- a/org.oatlug/src/org/oatlug/internal/gather/StateReport.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/StateReport.java
@@ -32,10 +32,10 @@
   /** An empty report. */
   public static final StateReport EMPTY = new StateReport(Map.of(), List.of(), Map.of(), Map.of());
 
-  /** Exceeds the prefill time of the longest queue of an upstream, in milliseconds. */
+  /** The maximum prefill time pending at an upstream, in milliseconds; no queue is that long. */
   private static final int MAXIMUM_OPEN_MILLIS = 10_000_000;
 
-  /** Exceeds the number of upstreams, services and models at the design size. */
+  /** The maximum entries of a report; the design size has fewer upstreams, services and models. */
   private static final int MAXIMUM_ENTRIES = 10_000;
 
   /** Replaces missing limits, as sent by an instance of an earlier version, by an empty map. */
@@ -46,20 +46,23 @@
   /** Returns the aggregate of reports of different instances. */
   static StateReport sumOf(Iterable<StateReport> reports) {
     Map<String, Integer> open = new TreeMap<>();
-    Map<String, PrefillTimeModel> lines = new TreeMap<>();
+    Map<String, PrefillTimeModel> models = new TreeMap<>();
     Map<String, VersionEvidence> byService = new TreeMap<>();
-    Map<String, AdvertisedLimit> newest = new TreeMap<>();
+    Map<String, AdvertisedLimit> newestLimits = new TreeMap<>();
     for (StateReport report : reports) {
       report.openMillis.forEach((upstream, millis) -> open.merge(upstream, millis, Integer::sum));
-      report.speeds.forEach(lines::putIfAbsent);
-      report.limits.forEach((name, limit) -> newest.merge(name, limit, AdvertisedLimit::newer));
+      report.speeds.forEach(models::putIfAbsent);
+      report.limits.forEach(
+          (name, limit) -> newestLimits.merge(name, limit, AdvertisedLimit::newer));
       report.evidence.forEach(
           entry -> byService.merge(entry.service(), entry, StateReport::sumOrLatest));
     }
-    return new StateReport(open, List.copyOf(byService.values()), lines, newest);
+    return new StateReport(open, List.copyOf(byService.values()), models, newestLimits);
   }
 
-  /** Returns the sum of evidence on the same roll-out order; a later order replaces an earlier. */
+  /**
+   * Returns the sum of evidence on the same roll-out order; a later order replaces an earlier one.
+   */
   private static VersionEvidence sumOrLatest(VersionEvidence left, VersionEvidence right) {
     if (left.isOfSameOrder(right)) {
       return left.plus(right);
@@ -80,9 +83,9 @@
       }
       joined.add(result);
     }
-    Map<String, PrefillTimeModel> lines = new TreeMap<>(earlier.speeds);
-    lines.putAll(speeds);
-    return new StateReport(openMillis, joined, lines, limits);
+    Map<String, PrefillTimeModel> models = new TreeMap<>(earlier.speeds);
+    models.putAll(speeds);
+    return new StateReport(openMillis, joined, models, limits);
   }
 
   /** Returns this report with all ages increased by the elapsed time. */
--- a/org.oatlug/src/org/oatlug/internal/gather/ZoneCollectors.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/ZoneCollectors.java
@@ -25,26 +25,26 @@
  * whole report. Owned by one event loop, not thread-safe.
  */
 final class ZoneCollectors {
-  /** The time for which an unresponsive collector is skipped: the length of a suspicion. */
+  /** The time for which an unresponsive collector is skipped: as long as a suspicion lasts. */
   private static final Duration EXCLUSION = Duration.ofSeconds(2);
 
   private final Membership membership;
   private final InstantSource clock;
   private final Map<String, Instant> excludedUntil = new HashMap<>();
-  private List<Member> rankedMembers = List.of();
-  private Map<String, List<Member>> ranked = Map.of();
+  private List<Member> membersWhenRanked = List.of();
+  private Map<String, List<Member>> rankedCandidates = Map.of();
 
   private ZoneCollectors(Membership membership, InstantSource clock) {
     this.membership = membership;
     this.clock = clock;
   }
 
-  /** Returns the collectors for the live members. */
+  /** Returns the collectors among the live members. */
   static ZoneCollectors of(Membership membership, InstantSource clock) {
     return new ZoneCollectors(membership, clock);
   }
 
-  /** Returns the collector of the own zone, empty if this instance is the collector. */
+  /** Returns the collector of this zone, empty if this instance is the collector. */
   Optional<Member> ofOwnZone() {
     String zone = membership.self().zone();
     return select(rankedByZone().getOrDefault(zone, List.of()))
@@ -82,11 +82,11 @@
     return now.isBefore(excludedUntil.getOrDefault(member.name(), Instant.EPOCH));
   }
 
-  /** Returns the ranked candidates of each zone, computed anew when the members change. */
+  /** Returns the ranked candidates of each zone, recomputed when the members change. */
   private Map<String, List<Member>> rankedByZone() {
     List<Member> live = membership.live();
-    if (live != rankedMembers) {
-      rankedMembers = live;
+    if (live != membersWhenRanked) {
+      membersWhenRanked = live;
       Map<String, Map<String, Member>> byZone = new TreeMap<>();
       for (Member member : live) {
         if (member.state() == Member.State.ALIVE || membership.isSelf(member)) {
@@ -95,13 +95,13 @@
               .put(member.name(), member);
         }
       }
-      ranked = new TreeMap<>();
-      byZone.forEach((zone, members) -> ranked.put(zone, rank(zone, members)));
+      rankedCandidates = new TreeMap<>();
+      byZone.forEach((zone, members) -> rankedCandidates.put(zone, rank(zone, members)));
       excludedUntil
           .keySet()
           .removeIf(name -> live.stream().noneMatch(member -> member.name().equals(name)));
     }
-    return ranked;
+    return rankedCandidates;
   }
 
   private static List<Member> rank(String zone, Map<String, Member> members) {
--- a/org.oatlug/src/org/oatlug/internal/gather/ZoneReplication.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/ZoneReplication.java
@@ -20,7 +20,7 @@
  * event loop, not thread-safe.
  */
 final class ZoneReplication {
-  /** The minimum interval of messages to a zone, because traffic between zones is billed. */
+  /** The minimum interval between messages to a zone, because traffic between zones is billed. */
   private static final Duration INTERVAL = Duration.ofMillis(300);
 
   private final SessionLog sessions;
@@ -56,7 +56,7 @@
   /**
    * Holds the content of the next message to a zone.
    *
-   * @param report the report of the own zone
+   * @param report the report of this zone
    * @param sessions the sessions that were not yet sent
    */
   record Update(StateReport report, List<SessionObservation> sessions) {}
@@ -73,7 +73,7 @@
   /**
    * Returns the update to send to the zone now and marks it as sent; empty if none is due.
    *
-   * @param urgent whether other content has to be sent at once
+   * @param urgent whether content outside the report, such as crashes, has to be sent at once
    */
   Optional<Update> updateFor(Member collector, StateReport own, boolean urgent, Instant now) {
     Sent previous = lastSentTo(collector);
--- a/org.oatlug/src/org/oatlug/internal/limit/AdmissionQueue.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/AdmissionQueue.java
@@ -18,13 +18,20 @@
  *
  * <p>A request queues here rather than at an upstream, so that it takes the first slot that becomes
  * free on any upstream and is routed only then. Higher priority goes first, then earlier arrival; a
- * target without capacity does not block the others. Invariant: a request whose predicted wait
- * exceeds its deadline is not queued, and one whose deadline passed is refused at once. Owned by
- * one event loop, not thread-safe.
+ * target without capacity does not block the others. Invariant: a request may be queued for {@link
+ * #QUEUE_TIME_SHARE} of the time to its deadline: it is refused at once if its predicted wait is
+ * longer, and otherwise as soon as that time has passed. Owned by one event loop, not thread-safe.
  */
 public final class AdmissionQueue {
+  /** The weight of the latest interval in the mean interval between releases. */
   private static final double SMOOTHING = 0.05;
+
+  /**
+   * The share of the time to its deadline that a request may spend in the queue; the rest is left
+   * to run it.
+   */
   private static final double QUEUE_TIME_SHARE = 0.5;
+
   private static final double NANOS_PER_SECOND = 1e9;
 
   private final TreeSet<Entry> entries =
@@ -32,8 +39,8 @@
           Comparator.comparingInt((Entry entry) -> entry.request().priority())
               .reversed()
               .thenComparingLong(Entry::number));
-  private double meanIntervalSeconds;
-  private Instant lastFreedAt = Instant.EPOCH;
+  private double meanReleaseIntervalSeconds;
+  private Instant lastReleasedAt = Instant.EPOCH;
   private long lastNumber;
 
   private AdmissionQueue() {}
@@ -46,7 +53,7 @@
   /**
    * A request that may be queued.
    *
-   * @param target the target that the request needs capacity of
+   * @param target the target whose capacity the request needs
    * @param priority the priority from 0 to 9
    * @param deadline the deadline of the request
    * @param proceed tries to send the request; returns whether it leaves the queue
@@ -69,16 +76,16 @@
     return Optional.empty();
   }
 
-  /** Records that a request of this instance has left an upstream. */
+  /** Records that a request of this instance has released its slot at an upstream. */
   public void recordRelease(Instant now) {
-    if (!lastFreedAt.equals(Instant.EPOCH)) {
-      double interval = Duration.between(lastFreedAt, now).toNanos() / NANOS_PER_SECOND;
-      meanIntervalSeconds += SMOOTHING * (interval - meanIntervalSeconds);
+    if (!lastReleasedAt.equals(Instant.EPOCH)) {
+      double interval = Duration.between(lastReleasedAt, now).toNanos() / NANOS_PER_SECOND;
+      meanReleaseIntervalSeconds += SMOOTHING * (interval - meanReleaseIntervalSeconds);
     }
-    lastFreedAt = now;
+    lastReleasedAt = now;
   }
 
-  /** Refuses requests whose deadline passed and tries to send the others. */
+  /** Refuses requests that were queued for too long and tries to send the others. */
   public void serve(Instant now) {
     Set<String> fullTargets = new HashSet<>();
     for (Entry entry : List.copyOf(entries)) {
@@ -106,11 +113,12 @@
   }
 
   private Duration predictedWait(QueuedRequest request) {
-    long ahead =
+    long queuedAhead =
         entries.stream()
             .filter(entry -> entry.request().target().equals(request.target()))
             .filter(entry -> entry.request().priority() >= request.priority())
             .count();
-    return Duration.ofNanos((long) ((ahead + 1) * meanIntervalSeconds * NANOS_PER_SECOND));
+    return Duration.ofNanos(
+        (long) ((queuedAhead + 1) * meanReleaseIntervalSeconds * NANOS_PER_SECOND));
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/limit/AdvertisedLimits.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/AdvertisedLimits.java
@@ -31,7 +31,8 @@
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   /**
-   * The time for which an observation of this instance is reported and an ended limit is confirmed.
+   * The time for which an observation of this instance is reported, and for which further responses
+   * confirm that a limit has ended.
    */
   static final Duration REPORTED_FOR = Duration.ofSeconds(30);
 
@@ -42,8 +43,10 @@
   private static final int LOG_PERIOD_MILLIS = 20;
 
   private final InstantSource clock;
-  private final Map<String, Observation> valid = BoundedMap.withMaximumSize(MAXIMUM_UPSTREAMS);
-  private final Map<String, Observation> own = BoundedMap.withMaximumSize(MAXIMUM_UPSTREAMS);
+  private final Map<String, Observation> validObservations =
+      BoundedMap.withMaximumSize(MAXIMUM_UPSTREAMS);
+  private final Map<String, Observation> ownObservations =
+      BoundedMap.withMaximumSize(MAXIMUM_UPSTREAMS);
 
   /**
    * An observation of the limit of an upstream.
@@ -66,7 +69,7 @@
       return new AdvertisedLimit(limit, Math.max(0, Duration.between(at, now).toMillis()));
     }
 
-    /** Returns the valid observation of this one and another report or response. */
+    /** Returns the valid one of this observation and that of another report or response. */
     Observation merge(Observation update) {
       if (update.at.isBefore(at)) {
         return this;
@@ -95,7 +98,7 @@
 
   /** Returns the limit of the upstream with its age, empty if it advertises none. */
   public Optional<AdvertisedLimit> find(String upstream) {
-    return Optional.ofNullable(valid.get(upstream))
+    return Optional.ofNullable(validObservations.get(upstream))
         .filter(Observation::isLimit)
         .map(observation -> observation.asOf(clock.instant()));
   }
@@ -118,7 +121,7 @@
    * @param written when the request was written
    */
   public void notAdvertised(String upstream, Instant written) {
-    Observation current = valid.get(upstream);
+    Observation current = validObservations.get(upstream);
     if (current == null || isEndConfirmed(current)) {
       return;
     }
@@ -132,22 +135,23 @@
   }
 
   private void observe(String upstream, Observation observation) {
-    Observation before = own.get(upstream);
-    own.put(upstream, before == null ? observation : before.merge(observation));
+    Observation previous = ownObservations.get(upstream);
+    ownObservations.put(upstream, previous == null ? observation : previous.merge(observation));
     apply(upstream, observation, "a response");
   }
 
   private void apply(String upstream, Observation observation, String source) {
-    Observation before = valid.get(upstream);
-    Observation after = before == null ? observation : before.merge(observation);
-    valid.put(upstream, after);
-    boolean isUnchanged = before == null ? !after.isLimit() : before.limit() == after.limit();
+    Observation previous = validObservations.get(upstream);
+    Observation updated = previous == null ? observation : previous.merge(observation);
+    validObservations.put(upstream, updated);
+    boolean isUnchanged =
+        previous == null ? !updated.isLimit() : previous.limit() == updated.limit();
     if (!isUnchanged) {
       logger.atInfo().atMostEvery(LOG_PERIOD_MILLIS, TimeUnit.MILLISECONDS).log(
           "upstream %s accepts %s, age %d ms, from %s",
           upstream,
-          after.isLimit() ? after.limit() + " requests a second" : "any rate",
-          Duration.between(after.at(), clock.instant()).toMillis(),
+          updated.isLimit() ? updated.limit() + " requests a second" : "any rate",
+          Duration.between(updated.at(), clock.instant()).toMillis(),
           source);
     }
   }
@@ -155,9 +159,12 @@
   /** Returns the recent observations of this instance, to be reported to others. */
   public Map<String, AdvertisedLimit> observed() {
     Instant now = clock.instant();
-    own.values().removeIf(observation -> observation.at().plus(REPORTED_FOR).isBefore(now));
+    ownObservations
+        .values()
+        .removeIf(observation -> observation.at().plus(REPORTED_FOR).isBefore(now));
     Map<String, AdvertisedLimit> observed = new TreeMap<>();
-    own.forEach((upstream, observation) -> observed.put(upstream, observation.asOf(now)));
+    ownObservations.forEach(
+        (upstream, observation) -> observed.put(upstream, observation.asOf(now)));
     return observed;
   }
 
--- a/org.oatlug/src/org/oatlug/internal/limit/DispatchQueue.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/DispatchQueue.java
@@ -20,8 +20,8 @@
  * disconnect before the first response. If one request starts per iteration of the loop, it
  * completes its steps without waiting for the others. Once the oldest request has waited too long,
  * the newest starts first, so that requests that can still meet their deadlines are not delayed by
- * those that cannot. Iterations are limited rather than connections being opened, because a network
- * partition keeps connections in that state for as long as it lasts.
+ * those that cannot. The limit applies to starts per iteration, not to connections that are being
+ * opened, because a network partition keeps connections in that state for as long as it lasts.
  *
  * <p>Invariants: at most one request starts per iteration of the event loop, which takes less than
  * a millisecond without overload; a request that can no longer be served uses no iteration. Owned
@@ -30,7 +30,10 @@
  * @param <T> the type of requests
  */
 public final class DispatchQueue<T> {
-  /** Many iterations without overload; requests older than this miss short latency targets. */
+  /**
+   * The wait from which the newest starts first: many iterations, and too long for short latency
+   * targets.
+   */
   private static final Duration OVERLOAD_WAIT = Duration.ofMillis(100);
 
   private final InstantSource clock;
@@ -39,7 +42,7 @@
   private final Deque<Entry<T>> queue = new ArrayDeque<>();
   private boolean startedInIteration;
 
-  private record Entry<T>(T request, Instant since) {}
+  private record Entry<T>(T request, Instant queuedAt) {}
 
   private DispatchQueue(InstantSource clock, Executor eventLoop, Predicate<T> start) {
     this.clock = clock;
@@ -90,7 +93,7 @@
   }
 
   private T next() {
-    Duration oldest = Duration.between(queue.peekFirst().since(), clock.instant());
+    Duration oldest = Duration.between(queue.peekFirst().queuedAt(), clock.instant());
     boolean overloaded = oldest.compareTo(OVERLOAD_WAIT) > 0;
     return overloaded ? queue.removeLast().request() : queue.removeFirst().request();
   }
--- a/org.oatlug/src/org/oatlug/internal/limit/OpenRequests.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/OpenRequests.java
@@ -11,6 +11,8 @@
  */
 public final class OpenRequests {
   private static final int PRIORITIES = 10;
+
+  /** The share of the bound below which no request is shed. */
   private static final double SHEDDING_SHARE = 0.7;
 
   private final int bound;
--- a/org.oatlug/src/org/oatlug/internal/limit/RankedSenders.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/RankedSenders.java
@@ -21,17 +21,18 @@
 import org.oatlug.internal.util.TickSystem;
 
 /**
- * Assigns each upstream the first few instances of its availability zone, by rendezvous rank.
+ * Assigns each upstream its senders: the first few instances of its availability zone by rendezvous
+ * rank.
  *
  * <p>Load pattern: all upstreams of a zone restart together with cold caches, while the instances
  * that could send to them are partitioned, have just started or are paused. Instances must agree on
  * the few senders without communication. An instance that sees half of the others or fewer sends
- * nothing, because the others may send; an instance that has just started and knows too few others
- * does not send either.
+ * nothing, because the others may send; nor does an instance that has just started, or that has
+ * peers but has not seen any of them live.
  *
  * <p>For cold upstreams all remembered instances of the zone are ranked, not only the live ones:
- * partitioned instances then rank the same set, and the share of a lost instance is missing only
- * for seconds. An advertised limit may last long and ends only with a response, so for limited
+ * partitioned instances then rank the same set, and the share of a lost instance is unused only for
+ * seconds. An advertised limit may last long and ends only with a response, so for limited
  * upstreams the live instances are ranked, those of other zones if the zone has none.
  *
  * <p>Invariant: two instances that both see more than half of the zone differ in rank only by the
@@ -89,11 +90,11 @@
    * The instances of one zone, or of all zones.
    *
    * @param names the remembered instances
-   * @param mostAreLive whether more than half of the remembered instances are live
+   * @param majorityIsLive whether more than half of the remembered instances are live
    * @param live the live instances
    * @param counted the number of instances that were live within {@link #COUNTED}
    */
-  private record Zone(List<String> names, boolean mostAreLive, List<String> live, int counted) {
+  private record Zone(List<String> names, boolean majorityIsLive, List<String> live, int counted) {
     static final Zone EMPTY = new Zone(List.of(), false, List.of(), 0);
 
     boolean hasMajority() {
@@ -184,7 +185,7 @@
   SenderSelection ofColdUpstreams() {
     return (upstream, zone, maximum, rotation) -> {
       Zone local = zones.getOrDefault(zone, allZones);
-      if (!isSettled() || !local.mostAreLive()) {
+      if (!isSettled() || !local.majorityIsLive()) {
         return 0;
       }
       int rank = ranks.computeIfAbsent(upstream, name -> rank(name, local.names()));
--- a/org.oatlug/src/org/oatlug/internal/limit/SharedRateLimit.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/SharedRateLimit.java
@@ -93,8 +93,9 @@
       int requests,
       IntFunction<Duration> window) {
     /**
-     * Returns an upstream that has just started. Its limit applies to any second, and the senders
-     * use half of it; an upstream that accepts less than one request a second receives none.
+     * Returns the target for an upstream that has just started. Its limit applies to any second,
+     * and the senders use half of it; an upstream that accepts less than one request a second
+     * receives none.
      */
     public static Target cold(String upstream, String zone, double requestsPerSecond) {
       int requests = (int) Math.min(MAXIMUM_COLD_PER_SECOND, requestsPerSecond);
@@ -106,10 +107,11 @@
     }
 
     /**
-     * Returns an upstream that advertises a limit. Its senders use the full rate, each in bursts of
-     * at most two, because requests do not arrive evenly spaced. With one sender for every two
-     * requests a second, the bursts of a set of senders amount to the requests of one second. If
-     * the limit was not observed for a while, its senders are idle, and others take over.
+     * Returns the target for an upstream that advertises a limit. Its senders use the full rate,
+     * each in bursts of at most two, because requests do not arrive evenly spaced. With one sender
+     * for every two requests a second, the bursts of a set of senders amount to the requests of one
+     * second. If the limit was not observed for a while, its senders are idle, and others take
+     * over.
      */
     public static Target advertised(String upstream, String zone, AdvertisedLimit limit) {
       double rate = Math.max(PROBES_PER_SECOND, limit.requestsPerSecond());
--- a/org.oatlug/src/org/oatlug/internal/membership/MemberView.java
+++ b/org.oatlug/src/org/oatlug/internal/membership/MemberView.java
@@ -15,16 +15,16 @@
  * <p>Computed once for each change of the members, because every tick uses it and ranking takes
  * several hashes per name.
  *
- * @param live the instances that are not known to be dead, including the own one
- * @param zonePeers the other instances of the own zone
+ * @param live the instances that are not known to be dead, including this one
+ * @param zonePeers the other instances of its zone
  * @param remotePeers the instances of other zones
- * @param readerRank the names of the instances of the own zone in rendezvous order; the first ones
- *     read the store
+ * @param readerRank the names of the instances of its zone, without leaving ones, in rendezvous
+ *     order; the first ones read the store
  */
 record MemberView(
     List<Member> live, List<Member> zonePeers, List<Member> remotePeers, List<String> readerRank) {
 
-  /** Returns the view of an instance on the members. */
+  /** Returns the members as the instance sees them. */
   static MemberView of(Member self, Collection<Member> members) {
     List<Member> live =
         members.stream().filter(member -> member.state() != Member.State.DEAD).toList();
--- a/org.oatlug/src/org/oatlug/internal/membership/Membership.java
+++ b/org.oatlug/src/org/oatlug/internal/membership/Membership.java
@@ -47,12 +47,24 @@
 
   private static final Duration SUSPICION_TIMEOUT = Duration.ofMillis(2000);
   private static final Duration UNREACHABLE_FOR = Duration.ofSeconds(3);
+
+  /** The time for which a process is probed after {@link #isUnresponsiveOrGone} was called. */
   private static final Duration WATCHED_FOR = Duration.ofSeconds(5);
+
+  /** The time without a response after which a process counts as lost. */
   private static final Duration LOST_AFTER = Duration.ofSeconds(8);
+
   private static final int MAXIMUM_HELPERS = 2;
+
+  /** The number of messages that carry each changed record. */
   private static final int SENDS_PER_UPDATE = 8;
+
   private static final int UPDATES_PER_MESSAGE = 8;
+
+  /** The number of instances in each availability zone that read the store for the others. */
   private static final int READERS = 2;
+
+  /** The maximum children of an instance in the tree that distributes what the readers read. */
   private static final int CHILDREN_PER_PARENT = 4;
 
   private final InstantSource clock;
@@ -102,7 +114,7 @@
     return member.name().equals(self.name());
   }
 
-  /** Adds listed instances that are unknown; the list may be outdated and proves no death. */
+  /** Adds listed instances that are unknown; the list may be outdated and marks none as dead. */
   public void mergeListed(List<Platform.ListedInstance> instances) {
     for (Platform.ListedInstance instance : instances) {
       if (!members.containsKey(instance.name())) {
@@ -466,7 +478,10 @@
     return updates;
   }
 
-  /** Returns the own record and records that were not yet sent the required number of times. */
+  /**
+   * Returns the record of this instance and records that were not yet sent the required number of
+   * times.
+   */
   private List<Member> takeUpdates() {
     List<Member> updates = new ArrayList<>();
     updates.add(self);
--- a/org.oatlug/src/org/oatlug/internal/peer/TcpPeerNetwork.java
+++ b/org.oatlug/src/org/oatlug/internal/peer/TcpPeerNetwork.java
@@ -84,9 +84,9 @@
   }
 
   /**
-   * Returns the connection if it is established within the timeout; later requests may still use it
-   * otherwise. Without this bound a request to an unresponsive instance takes two seconds
-   * regardless of its timeout.
+   * Returns the connection, or fails if it is not established within the timeout; later requests
+   * may still use a connection that is established after it. Without this bound a request to an
+   * unresponsive instance takes two seconds regardless of its timeout.
    */
   private Future<PeerConnection> connectionWithin(Member peer, Duration timeout) {
     return connection(peer)
