--- a/org.oatlug/src/org/oatlug/internal/crash/CrashLedger.java
+++ b/org.oatlug/src/org/oatlug/internal/crash/CrashLedger.java
@@ -157,7 +157,7 @@
    * Records that an upstream crashed while it ran a request.
    *
    * @param subject the workspace and destination of the request, for operators
-   * @param process the upstream process: name and start of the upstream
+   * @param process the upstream process: the name and start time of the upstream
    * @param startedAt when the run started
    * @param crashedAt when the upstream crashed
    */
--- a/org.oatlug/src/org/oatlug/internal/crash/CrashRecord.java
+++ b/org.oatlug/src/org/oatlug/internal/crash/CrashRecord.java
@@ -13,7 +13,7 @@
  * @param fingerprint the fingerprint of the request
  * @param subject the workspace and destination of the request, for operators
  * @param runs its runs during which an upstream crashed, one for each upstream process
- * @param clearedAgeMillis how long ago the request was cleared, in milliseconds, -1 for never
+ * @param clearedAgeMillis how long ago the request was cleared, in milliseconds; -1 for never
  */
 public record CrashRecord(
     String fingerprint, String subject, List<CrashedRun> runs, long clearedAgeMillis) {
@@ -29,7 +29,7 @@
   /**
    * A run during which its upstream crashed.
    *
-   * @param process the upstream process: name and start of the upstream
+   * @param process the upstream process: the name and start time of the upstream
    * @param beganAgeMillis how long ago the run started, in milliseconds
    * @param endedAgeMillis how long ago the upstream crashed, in milliseconds
    */
--- a/org.oatlug/src/org/oatlug/internal/peer/Member.java
+++ b/org.oatlug/src/org/oatlug/internal/peer/Member.java
@@ -12,7 +12,7 @@
  * The handshake authenticates {@link #toString()}, so the names of the type, its components and the
  * states are part of the protocol.
  *
- * @param name the configured name
+ * @param name the configured name of the instance
  * @param zone the availability zone
  * @param rack the rack
  * @param host the IP address
--- a/org.oatlug/src/org/oatlug/internal/peer/PeerConnection.java
+++ b/org.oatlug/src/org/oatlug/internal/peer/PeerConnection.java
@@ -26,7 +26,7 @@
 final class PeerConnection implements Frames.Receiver {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** The number of timeouts without a received frame that closes the connection. */
+  /** The number of timeouts, with no frame received in between, that closes the connection. */
   private static final int MAXIMUM_TIMEOUTS = 2;
 
   private final Vertx vertx;
