--- a/org.oatlug/src/org/oatlug/internal/gateway/AttemptFeedback.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/AttemptFeedback.java
@@ -54,7 +54,7 @@
     return started;
   }
 
-  /** Returns the time since the attempt began. */
+  /** Returns the time since the start of the attempt. */
   Duration took() {
     return Duration.between(started, now());
   }
@@ -88,7 +88,7 @@
     return refused;
   }
 
-  /** Records that the response begins, whatever its status, and applies its load information. */
+  /** Records that the response begins, whatever its status, and applies the state it reports. */
   void responseHeadReceived(ResponseHead head) {
     dequeuePrompt();
     components.zones().recordResponse(chosen.upstream().zone());
@@ -100,14 +100,14 @@
                     .loads()
                     .report(chosen.row(), load.running(), load.waiting(), false));
     head.coldMillis().ifPresent(millis -> chosen.row().coldUntil(now().plusMillis(millis)));
-    head.backOff().ifPresent(this::backOff);
+    head.backOff().ifPresent(this::recordBackOff);
     applyLimit(head);
     if (head.leaving()) {
       recordLeaving(head);
     }
   }
 
-  private void backOff(Duration backOff) {
+  private void recordBackOff(Duration backOff) {
     components.meters().count("upstream.asked-for-rest");
     chosen.row().backOffUntil(now().plus(backOff));
   }
@@ -193,7 +193,7 @@
   }
 
   /** Reports the outcome of the request on the upstream's version to the version rule. */
-  void outcome(boolean bad) {
+  void outcome(boolean failed) {
     components
         .versions()
         .answered(
@@ -202,11 +202,11 @@
                 chosen.upstream().version(),
                 request.route(),
                 model,
-                bad,
+                failed,
                 took()));
   }
 
-  /** Reports the streaming rate of the upstream's version to the version rule. */
+  /** Reports the event interval of a stream of the upstream's version to the version rule. */
   void recordEventInterval(double millisPerEvent) {
     components
         .versions()
@@ -219,7 +219,7 @@
                 millisPerEvent));
   }
 
-  /** Updates the estimates with the time to the response head, and meters the forecast error. */
+  /** Updates the estimates with the time to the response head, and records the forecast error. */
   void recordTimeToHead() {
     components.times().recordHeadTime(timesKey(), took());
     FirstTokenForecast forecast = chosen.forecast();
--- a/org.oatlug/src/org/oatlug/internal/gateway/BufferedResponse.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/BufferedResponse.java
@@ -10,8 +10,8 @@
 /**
  * Buffers an upstream's answer that is not an event stream.
  *
- * <p>The answer is buffered until it is complete, so that another attempt can replace it if it
- * breaks off; an answer too large to buffer is forwarded in parts. Invariant: the buffered bytes
+ * <p>The answer is buffered until it is complete, so that another attempt can replace it if it is
+ * interrupted; an answer too large to buffer is forwarded in parts. Invariant: the buffered bytes
  * count in {@link BodyMemoryBudget} until {@link #release}. Used from one event loop.
  */
 final class BufferedResponse {
--- a/org.oatlug/src/org/oatlug/internal/gateway/CallerConnection.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/CallerConnection.java
@@ -85,7 +85,7 @@
     cancelIdleTimer();
   }
 
-  /** Records that a request got its answer. */
+  /** Records that the answer to a request ended. */
   void requestEnded() {
     openRequests--;
     if (framingInvalid) {
--- a/org.oatlug/src/org/oatlug/internal/gateway/CrashGuard.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/CrashGuard.java
@@ -20,10 +20,11 @@
  * Prevents requests that crash upstreams from crashing more of them.
  *
  * <p>A request becomes a suspect when two upstream processes have crashed while running it. A
- * suspect runs isolated: once at a time, preferably on an idle upstream, and without retries within
- * the try. So another crash affects few other requests, and a harmless request is soon cleared by
- * completing. The {@link CrashLedger} holds the evidence. Invariant: an upstream counts as running
- * a suspect exactly while this instance has a suspect open there. Used from one event loop.
+ * suspect runs isolated: on one upstream at a time, preferably an idle one, and without retries
+ * within the try. So another crash affects few other requests, and a harmless request is soon
+ * cleared by completing. The {@link CrashLedger} holds the evidence. Invariant: an upstream counts
+ * as running a suspect exactly while this instance has a suspect open there. Used from one event
+ * loop.
  */
 final class CrashGuard {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -36,7 +37,7 @@
   private final InstantSource clock;
   private final Meters meters;
 
-  /** The upstreams that run suspects, by the fingerprint of the request. */
+  /** Maps the fingerprint of each running suspect to its upstream. */
   private final Map<String, String> suspectUpstreams = new HashMap<>();
 
   private CrashGuard(
--- a/org.oatlug/src/org/oatlug/internal/gateway/DeadlineTimers.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/DeadlineTimers.java
@@ -30,7 +30,7 @@
     this.clock = clock;
   }
 
-  /** Returns an instance without timers. */
+  /** Returns timers without scheduled actions. */
   static DeadlineTimers create(Vertx vertx, InstantSource clock) {
     return new DeadlineTimers(vertx, clock);
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/Exchange.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/Exchange.java
@@ -130,12 +130,15 @@
     return Duration.between(components.clock().instant(), request.deadline());
   }
 
-  /** Returns the crash guard's state of the request. */
+  /** Returns the state that the crash guard keeps for the request. */
   CrashGuard.RequestGuard requestGuard() {
     return requestGuard;
   }
 
-  /** Refuses the request if it is known to crash upstreams; returns whether it was refused. */
+  /**
+   * Refuses the request if it is known to crash upstreams, as waiting would not change the
+   * evidence; returns whether it was refused.
+   */
   private boolean refuseIfCrashing() {
     Optional<Duration> retryAfter = requestGuard.retryDelay();
     retryAfter.ifPresent(
@@ -179,17 +182,17 @@
         };
     String text = ErrorText.format(pattern, service);
     if (reason == RefusalReason.UPSTREAMS_LIMITED) {
-      giveUp(reason, text, retryAfterAtAcceptedRate(service));
+      giveUp(reason, text, retryAfterAtAdvertisedRate(service));
     } else {
       giveUp(reason, text);
     }
   }
 
-  private Duration retryAfterAtAcceptedRate(String service) {
-    double accepted = components.rates().totalAdvertisedRate(service);
+  private Duration retryAfterAtAdvertisedRate(String service) {
+    double advertisedRate = components.rates().totalAdvertisedRate(service);
     return components
         .retryAfterJitter()
-        .spacedDelay(service, accepted, components.clock().instant());
+        .spacedDelay(service, advertisedRate, components.clock().instant());
   }
 
   private void startAttempt(UpstreamSelection.Chosen chosen) {
@@ -247,7 +250,9 @@
     return components.selection().choose(criteria, components.clock().instant());
   }
 
-  /** Returns the generation parameters of the request, if it has any, else the unknown ones. */
+  /**
+   * Returns the generation parameters of the request, or {@link Generation#UNKNOWN} if it has none.
+   */
   Generation generation() {
     return request.head().generation().orElse(Generation.UNKNOWN);
   }
@@ -272,7 +277,7 @@
     mayHaveRun = true;
   }
 
-  /** Records the version that failed the request last. */
+  /** Records the version on which the request failed last. */
   void recordFailedVersion(String version) {
     lastFailedVersion = Optional.of(version);
   }
@@ -397,7 +402,7 @@
     callerResponse.refuse(refusal, request.head().id());
   }
 
-  /** Records the outcome of the request; called before its answer is ended. */
+  /** Records the outcome of the request; called before its answer ends. */
   void finish(String outcome) {
     components.deadlines().cancel(deadlineTimer);
     Duration duration = elapsed();
--- a/org.oatlug/src/org/oatlug/internal/gateway/ExchangeAttempt.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/ExchangeAttempt.java
@@ -27,9 +27,9 @@
  * One attempt of an exchange at one upstream, and the handling of its answer.
  *
  * <p>{@link UpstreamConnection} owns the connection; this class decides whether the answer is
- * accepted, dropped or requested again; {@link AttemptFeedback} records what the attempt reveals
- * about the upstream. Invariant: once an answer to the caller has begun, it continues only with the
- * events that follow. Used from one event loop.
+ * accepted, dropped or requested again; {@link AttemptFeedback} records the progress and outcome of
+ * the attempt. Invariant: once an answer to the caller has begun, it continues only with the events
+ * that follow. Used from one event loop.
  */
 final class ExchangeAttempt implements UpstreamConnection.Listener {
   private static final String EVENT_STREAM_TYPE = "text/event-stream";
@@ -53,7 +53,7 @@
   private HttpClientResponse response;
   private boolean streaming;
   private boolean released;
-  private boolean runsExclusively;
+  private boolean runsIsolated;
 
   ExchangeAttempt(Exchange exchange, UpstreamSelection.Chosen chosen, Optional<String> model) {
     this.exchange = exchange;
@@ -67,14 +67,14 @@
     this.feedback = new AttemptFeedback(components, request, chosen, model);
     this.bufferedResponse = BufferedResponse.create(components, callerResponse);
     this.idleTimeout =
-        IdleTimeout.create(components, this::currentIdleTimeout, this::retryElsewhere);
+        IdleTimeout.create(components, this::currentIdleTimeout, this::retryOnAnotherUpstream);
   }
 
   String upstreamName() {
     return chosen.name();
   }
 
-  /** Returns whether the attempt has neither produced a result nor ended. */
+  /** Returns whether the attempt has not ended. */
   boolean isOpen() {
     return !released;
   }
@@ -83,8 +83,8 @@
   void send() {
     feedback.begin();
     exchange.recordAttempt(chosen.name());
-    runsExclusively = exchange.requestGuard().isSuspect();
-    if (runsExclusively) {
+    runsIsolated = exchange.requestGuard().isSuspect();
+    if (runsIsolated) {
       exchange.requestGuard().startIsolated(chosen.name());
     }
     headers.addAll(request.headers());
@@ -127,8 +127,10 @@
     return response == null ? feedback.headTimeout() : feedback.pauseTimeout();
   }
 
-  /** Abandons the attempt after the idle timeout, if the request may be sent elsewhere. */
-  private void retryElsewhere() {
+  /**
+   * Abandons the attempt after the idle timeout, if the request may be sent to another upstream.
+   */
+  private void retryOnAnotherUpstream() {
     if (!bufferedResponse.isForwarded() && exchange.tryAcquireRetry("upstream-silent")) {
       abandon();
       logEvent("silent");
@@ -167,7 +169,7 @@
   private void release() {
     if (!released) {
       released = true;
-      if (runsExclusively) {
+      if (runsIsolated) {
         exchange.requestGuard().endIsolated();
       }
       feedback.end();
@@ -210,7 +212,8 @@
     if (exclusion.isPresent()) {
       return withhold(exclusion.get().reason(), exclusion.get().cause());
     }
-    // Updates the remaining time: the host may have been suspended since the first call.
+    // Updates the remaining time: the host may have been suspended since the headers were first
+    // composed.
     components.adapter().upstreams().addTerms(headers, terms());
     return true;
   }
@@ -355,14 +358,14 @@
   }
 
   private void write(Buffer data) {
-    if (callerResponse.write(data, this::drained)) {
+    if (callerResponse.write(data, this::resumeReading)) {
       eventInterval.discard();
       idleTimeout.pause();
       connection.pause();
     }
   }
 
-  private void drained() {
+  private void resumeReading() {
     idleTimeout.resume();
     connection.resume();
   }
@@ -423,10 +426,10 @@
     exchange.markMayHaveRun();
     recordOutcome(true);
     relay.resetForNextUpstream();
-    boolean mustStop = recordBreak();
+    boolean mustNotRetry = recordInterruption();
     if (route.isRepeatable()
         && !bufferedResponse.isForwarded()
-        && !mustStop
+        && !mustNotRetry
         && exchange.tryAcquireRetry("upstream-" + (streaming ? "stream" : "answer"))) {
       exchange.sendToNextUpstream();
     } else {
@@ -434,14 +437,16 @@
     }
   }
 
-  /** Records that the answer broke off; returns true if a retry could crash another upstream. */
-  private boolean recordBreak() {
-    boolean mustStop = exchange.requestGuard().blocksRetry(chosen.row().process());
+  /**
+   * Records that the answer was interrupted; returns true if a retry could crash another upstream.
+   */
+  private boolean recordInterruption() {
+    boolean mustNotRetry = exchange.requestGuard().blocksRetry(chosen.row().process());
     // An upstream that drains ends as planned, so the request did not crash it.
     if (!components.tables().isLeaving(chosen.name())) {
       exchange.requestGuard().responseInterrupted(chosen, feedback.started());
     }
-    return mustStop;
+    return mustNotRetry;
   }
 
   /** Records whether the upstream's version failed the request. */
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayComponents.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayComponents.java
@@ -77,7 +77,7 @@
     deadlines.rescheduleAll();
   }
 
-  /** Returns the ledger of requests under which upstreams crashed, as seen by all instances. */
+  /** Returns the ledger of requests that crashed upstreams, as seen by all instances. */
   public CrashLedger crashLedger() {
     return crashes.ledger();
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayRules.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayRules.java
@@ -20,9 +20,9 @@
  * Resolves which of two states of an object of routed services is in force.
  *
  * <p>The routing configuration is ordered by its own version. After the store was restored from a
- * copy, a later entry of the same start of an upstream is retained over the earlier one in the
- * copy, and so is the progress of a roll-out, because only instances write it and nothing else
- * would write it again. Stateless, thread-safe.
+ * copy, a later entry of the same upstream process is retained over the earlier one in the copy,
+ * and so is the progress of a roll-out, because only instances write it and nothing else would
+ * write it again. Stateless, thread-safe.
  */
 final class GatewayRules implements ObjectRules {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayServer.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayServer.java
@@ -37,16 +37,20 @@
 public final class GatewayServer {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** The decoder's limit of a head, in bytes; the configured lower limit is checked afterwards. */
+  /**
+   * The decoder's limit of a head, in bytes; the smaller configured limit is checked afterwards.
+   */
   private static final int MAXIMUM_DECODER_HEADER_BYTES = 262_144;
 
   /**
-   * How long a request waits for the instance to become ready: less than the second after which
-   * callers give up an instance that does not read.
+   * The maximum time that a request waits for the instance to become ready: less than the second
+   * after which callers give up on an instance that does not read their request.
    */
   private static final Duration READINESS_TIMEOUT = Duration.ofMillis(800);
 
-  /** The limit of requests that wait for readiness; their bodies are not read meanwhile. */
+  /**
+   * The maximum number of requests that wait for readiness; their bodies are not read meanwhile.
+   */
   private static final int MAXIMUM_WAITING_REQUESTS = 500;
 
   private final HttpServerOptions options =
@@ -116,7 +120,7 @@
     }
   }
 
-  /** Closes all connections, with the requests still open on them. */
+  /** Closes all connections and aborts the requests still open on them. */
   public void closeAllConnections() {
     List.copyOf(connections.values()).forEach(CallerConnection::close);
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayTables.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayTables.java
@@ -81,17 +81,17 @@
     List<StoredObject> changed = new ArrayList<>();
     for (StoredObject object : objects) {
       updateEpoch(object.revision().epoch());
-      Optional<StoredObject> known = join.get(object.key());
+      Optional<StoredObject> previous = join.get(object.key());
       Optional<StoredObject> joined = join.merge(object);
       joined.ifPresent(changed::add);
-      joined.ifPresent(newer -> applyIfChanged(known, newer, origin));
+      joined.ifPresent(newer -> applyIfChanged(previous, newer, origin));
     }
     return changed;
   }
 
-  private void updateEpoch(long observed) {
-    if (observed > epoch) {
-      epoch = observed;
+  private void updateEpoch(long observedEpoch) {
+    if (observedEpoch > epoch) {
+      epoch = observedEpoch;
       epochSince = clock.instant();
     }
   }
@@ -103,9 +103,9 @@
             .filter(StoredObject::retained)
             .map(object -> object.key().toString())
             .toList();
-    long awaitedCount = join.all().stream().filter(this::isOfEarlierEpoch).count();
+    long earlierEpochCount = join.all().stream().filter(this::isOfEarlierEpoch).count();
     long sinceMillis = Duration.between(epochSince, clock.instant()).toMillis();
-    return new InstanceStatus.Store(epoch, sinceMillis, retained, awaitedCount);
+    return new InstanceStatus.Store(epoch, sinceMillis, retained, earlierEpochCount);
   }
 
   private boolean isOfEarlierEpoch(StoredObject object) {
@@ -113,13 +113,13 @@
   }
 
   /** Applies an object unless only its revision changed, as after a restore of the store. */
-  private void applyIfChanged(Optional<StoredObject> known, StoredObject newer, Origin origin) {
+  private void applyIfChanged(Optional<StoredObject> previous, StoredObject newer, Origin origin) {
     if (newer.retained()) {
       logger.atInfo().log(
           "%s revision=%s retains the content known before the store was restored %s",
           newer.key(), newer.revision(), origin);
     }
-    if (known.isEmpty() || !known.get().value().equals(newer.value())) {
+    if (previous.isEmpty() || !previous.get().value().equals(newer.value())) {
       apply(newer, origin);
     }
   }
@@ -162,8 +162,8 @@
       return;
     }
     UpstreamRecord parsed = Json.STRICT.treeToValue(object.value(), UpstreamRecord.class);
-    Optional<UpstreamRecord> known = upstreams.put(name, parsed);
-    if (known.isEmpty() || known.get().leaving() != parsed.leaving()) {
+    Optional<UpstreamRecord> previous = upstreams.put(name, parsed);
+    if (previous.isEmpty() || previous.get().leaving() != parsed.leaving()) {
       logger.atInfo().log(
           "upstream %s revision=%s service=%s version=%s zone=%s leaving=%b cold=%s %s",
           name,
@@ -295,7 +295,7 @@
     return join.get(key).map(StoredObject::revision).orElse(StoreRevision.NONE);
   }
 
-  /** Returns whether an upstream has announced that it leaves, or is not registered. */
+  /** Returns whether an upstream has announced that it is leaving, or is not registered. */
   public boolean isLeaving(String upstream) {
     return upstream(upstream).map(UpstreamRecord::leaving).orElse(true) || row(upstream).leaving();
   }
@@ -317,7 +317,7 @@
 
   /**
    * Returns whether the store, after a restore, holds an earlier state of a service's roll-out than
-   * the one reached.
+   * the one that this instance retains.
    */
   boolean isRolloutRetained(String service) {
     ObjectKey key = ObjectKey.valueOf(GatewayKinds.ROLLOUT, service);
--- a/org.oatlug/src/org/oatlug/internal/gateway/InspectionServer.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/InspectionServer.java
@@ -33,7 +33,7 @@
   /** The path that shows the status of the instance. */
   static final String STATUS_PATH = "/status";
 
-  /** The path that lifts the refusal of a request under which upstreams crashed. */
+  /** The path that lifts the refusal of a request that crashed upstreams. */
   static final String LET_RUN_PATH = "/let-run";
 
   private static final int OK = 200;
--- a/org.oatlug/src/org/oatlug/internal/gateway/InstanceStatus.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/InstanceStatus.java
@@ -20,7 +20,7 @@
  * @param emptiedZones the evacuated availability zones, whose upstreams receive no requests
  * @param rollouts the progress of the running roll-outs
  * @param heldRequests the requests that run isolated or are refused, because upstreams crashed
- *     under them
+ *     while running them
  * @param upstreams the upstreams, ordered by name
  */
 public record InstanceStatus(
@@ -47,7 +47,7 @@
    * @param name its name
    * @param service its service
    * @param zone its availability zone
-   * @param leaving whether it has announced that it leaves
+   * @param leaving whether it is leaving
    * @param cold whether it is cold and limited to few requests
    * @param limit the rate limit that it advertises, empty for none
    * @param restsMillis the remaining back-off that it asked for, in milliseconds
--- a/org.oatlug/src/org/oatlug/internal/gateway/ResponseTimes.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/ResponseTimes.java
@@ -94,10 +94,10 @@
       return 1 / (1 + Math.exp((mean * decay - bound) / scale));
     }
 
-    /** Returns the timeout for an event that takes a known time plus the estimated time. */
-    Duration timeout(double minimum, double known) {
-      double uncapped = known + mean + TIMEOUT_DEVIATIONS * deviation;
-      double maximum = MAXIMUM_TIMEOUT_FACTOR * Math.max(minimum, known + mean);
+    /** Returns the timeout for an event that takes the forecast time plus the estimated time. */
+    Duration timeout(double minimum, double forecast) {
+      double uncapped = forecast + mean + TIMEOUT_DEVIATIONS * deviation;
+      double maximum = MAXIMUM_TIMEOUT_FACTOR * Math.max(minimum, forecast + mean);
       return Duration.ofMillis((long) Math.min(maximum, Math.max(minimum, uncapped)));
     }
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/RetryAfterJitter.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RetryAfterJitter.java
@@ -26,7 +26,7 @@
   private static final Duration MINIMUM_JITTER = Duration.ofMillis(300);
 
   /** Maximum spaced delay; callers would rarely wait longer. */
-  private static final Duration MAXIMUM_PACED_DELAY = Duration.ofSeconds(5);
+  private static final Duration MAXIMUM_SPACED_DELAY = Duration.ofSeconds(5);
 
   private final RandomGenerator random;
   private final IntSupplier instances;
@@ -38,7 +38,7 @@
   }
 
   /**
-   * Returns an instance that uses the random generator.
+   * Returns a source of retry delays that uses the random generator.
    *
    * @param instances supplies the number of instances that refuse callers at the same time
    */
@@ -59,7 +59,7 @@
     Instant earliest = now.plus(MINIMUM_JITTER);
     Instant nextRetryTime = lastRetryTimes.getOrDefault(service, Instant.EPOCH).plus(interval);
     boolean isInRange =
-        !nextRetryTime.isBefore(earliest) && !nextRetryTime.isAfter(now.plus(MAXIMUM_PACED_DELAY));
+        !nextRetryTime.isBefore(earliest) && !nextRetryTime.isAfter(now.plus(MAXIMUM_SPACED_DELAY));
     Instant retryTime = isInRange ? nextRetryTime : earliest.plus(randomDelay(interval));
     lastRetryTimes.put(service, retryTime);
     return Duration.between(now, retryTime);
@@ -67,7 +67,7 @@
 
   private Duration randomDelay(Duration interval) {
     long maximumMillis =
-        Math.min(interval.toMillis(), MAXIMUM_PACED_DELAY.minus(MINIMUM_JITTER).toMillis());
+        Math.min(interval.toMillis(), MAXIMUM_SPACED_DELAY.minus(MINIMUM_JITTER).toMillis());
     return Duration.ofMillis((long) (random.nextDouble() * maximumMillis));
   }
 
--- a/org.oatlug/src/org/oatlug/internal/gateway/RolloutDirector.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RolloutDirector.java
@@ -44,7 +44,7 @@
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   /** The interval at which owned roll-outs are advanced. */
-  private static final Duration INTERVAL = Duration.ofMillis(250);
+  private static final Duration ADVANCE_INTERVAL = Duration.ofMillis(250);
 
   /** The minimum number of answers for a decision; a version with fewer is rolled back. */
   private static final long MINIMUM_ANSWERS = 20;
@@ -87,7 +87,7 @@
     this.sessions = SessionVersionCache.withPause(bounds.session(), this::movesImmediately);
   }
 
-  /** Returns a director without sessions and evidence. */
+  /** Returns a director that has no sessions and no evidence yet. */
   public static RolloutDirector create(
       GatewayTables tables,
       Platform platform,
@@ -123,7 +123,7 @@
       RolloutTrial trial,
       RequestHead head,
       PriorAttempts priorAttempts) {
-    VersionDecisionInputs current = basisOf(service, rollout, trial, head);
+    VersionDecisionInputs current = inputsOf(service, rollout, trial, head);
     // An earlier attempt of this request records its session, which does not make it a known one.
     VersionDecisionInputs inputs =
         priorAttempts.inputs().map(current::withKnowledgeOf).orElse(current);
@@ -139,7 +139,7 @@
         .preference();
   }
 
-  private VersionDecisionInputs basisOf(
+  private VersionDecisionInputs inputsOf(
       String service, ServiceRollout rollout, RolloutTrial trial, RequestHead head) {
     OptionalLong session = SessionVersions.sessionHash(head);
     double elapsedFraction = elapsedFraction(rollout, trial);
@@ -149,22 +149,22 @@
           session, Knowledge.NO_SESSION, "", 0, elapsedFraction, share);
     }
     Instant now = clock.instant();
-    Optional<SessionVersions.Observation> last =
+    Optional<SessionVersions.Observation> lastSeen =
         sessions.of(service).lastObservation(session.getAsLong(), now);
-    if (last.isEmpty()) {
+    if (lastSeen.isEmpty()) {
       return new VersionDecisionInputs(session, Knowledge.UNKNOWN, "", 0, elapsedFraction, share);
     }
-    Knowledge knowledge = last.get().isLocal() ? Knowledge.SEEN_HERE : Knowledge.TOLD;
-    long age = Duration.between(last.get().at(), now).toMillis();
+    Knowledge knowledge = lastSeen.get().isLocal() ? Knowledge.SEEN_HERE : Knowledge.TOLD;
+    long age = Duration.between(lastSeen.get().at(), now).toMillis();
     return new VersionDecisionInputs(
-        session, knowledge, last.get().version(), age, elapsedFraction, share);
+        session, knowledge, lastSeen.get().version(), age, elapsedFraction, share);
   }
 
-  private static double hashFraction(long number) {
-    return (Hashes.combine(number, 0) & Long.MAX_VALUE) / HASH_RANGE;
+  private static double hashFraction(long hash) {
+    return (Hashes.combine(hash, 0) & Long.MAX_VALUE) / HASH_RANGE;
   }
 
-  /** Returns the fraction of its duration that has elapsed; above 1 if the roll-out is late. */
+  /** Returns the elapsed fraction of the duration of the roll-out; above 1 once it is overdue. */
   private double elapsedFraction(ServiceRollout rollout, RolloutTrial trial) {
     long age = ageOf(rollout, trial).toMillis();
     return (double) age / Math.max(1, rollout.durationMillis());
@@ -224,7 +224,10 @@
     }
   }
 
-  /** Sets the action that runs as soon as a version is found to be bad. */
+  /**
+   * Sets the action that runs when an answer seen here, or the added evidence of other instances,
+   * refutes a version. It does not run when another instance reports the version as refuted.
+   */
   public void onRefuted(Runnable action) {
     onRefuted = action;
   }
@@ -335,7 +338,7 @@
     if (now.isBefore(nextTick)) {
       return;
     }
-    nextTick = now.plus(INTERVAL);
+    nextTick = now.plus(ADVANCE_INTERVAL);
     for (String service : tables.servicesWithRollout()) {
       ServiceRollout rollout = tables.rollout(service).orElseThrow();
       Optional<RolloutTrial> trial = runningTrial(service);
@@ -405,12 +408,12 @@
 
   private RolloutTrial trialOf(String service, ServiceRollout rollout) {
     TrialKey key = new TrialKey(service, rollout.targetVersion());
-    RolloutTrial known = trials.get(key);
-    if (known == null || !known.adoptOrder(rollout.targetVersion(), rollout.orderedAt())) {
+    RolloutTrial trial = trials.get(key);
+    if (trial == null || !trial.adoptOrder(rollout.targetVersion(), rollout.orderedAt())) {
       OrderAge age = OrderAge.firstRead(clock.instant(), rollout.state().isEmpty());
-      known = RolloutTrial.of(rollout.targetVersion(), rollout.orderedAt(), age);
-      trials.put(key, known);
+      trial = RolloutTrial.of(rollout.targetVersion(), rollout.orderedAt(), age);
+      trials.put(key, trial);
     }
-    return known;
+    return trial;
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/RolloutSchedule.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RolloutSchedule.java
@@ -14,7 +14,7 @@
  * detected early. It reaches all sessions before the end, because the old upstreams stop as soon as
  * the roll-out ends and have to be drained by then. When the share reaches 1, the version has
  * received less than 13 % of the requests of the whole duration, which leaves time to detect a
- * fault before the usual exposure bound of 15 % is used up, and a reserve. Immutable.
+ * fault before the usual exposure bound of 15 % is used up, plus a margin. Immutable.
  */
 final class RolloutSchedule {
   /** The fraction of the duration until which sessions keep their version. */
--- a/org.oatlug/src/org/oatlug/internal/gateway/RolloutStatus.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RolloutStatus.java
@@ -8,7 +8,7 @@
  *
  * @param service the service
  * @param version the version that is rolled out
- * @param part the fraction of the duration that has elapsed; above 1 if the roll-out is late
+ * @param part the fraction of the duration that has elapsed; above 1 once it is overdue
  * @param share the share of the sessions that the version receives, 0 to 1
  * @param evidence the logarithm of the evidence against the version, of all instances
  * @param answers the number of answers of the version that all instances have seen
--- a/org.oatlug/src/org/oatlug/internal/gateway/RolloutWriter.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RolloutWriter.java
@@ -45,23 +45,23 @@
   /** Starts to write a roll-out; returns the revision to replace, empty if it was not started. */
   Optional<StoreRevision> write(String service, ServiceRollout rollout) {
     ObjectKey key = ObjectKey.valueOf(GatewayKinds.ROLLOUT, service);
-    Optional<StoredObject> known = tables.join().get(key);
-    if (writeInFlight || known.isEmpty() || isOfEarlierEpoch(known.get())) {
+    Optional<StoredObject> replaced = tables.join().get(key);
+    if (writeInFlight || replaced.isEmpty() || isOfEarlierEpoch(replaced.get())) {
       return Optional.empty();
     }
     writeInFlight = true;
     JsonNode value = Json.STRICT.valueToTree(rollout);
     platform
-        .put(key, known.get().revision(), value)
+        .put(key, replaced.get().revision(), value)
         .subscribe()
         .with(
             revision -> handleWritten(StoredObject.of(key, revision, value)), this::handleFailure);
-    return Optional.of(known.get().revision());
+    return Optional.of(replaced.get().revision());
   }
 
   /** Returns whether the store was restored and the roll-out was not read from it since. */
-  private boolean isOfEarlierEpoch(StoredObject known) {
-    return known.revision().epoch() < platform.epoch().newest();
+  private boolean isOfEarlierEpoch(StoredObject stored) {
+    return stored.revision().epoch() < platform.epoch().newest();
   }
 
   private void handleWritten(StoredObject object) {
--- a/org.oatlug/src/org/oatlug/internal/gateway/SessionVersionCache.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/SessionVersionCache.java
@@ -25,7 +25,7 @@
  * Owned by one event loop, not thread-safe.
  */
 final class SessionVersionCache {
-  /** The sessions of one session pause at the busiest instance of the design size. */
+  /** Enough for the sessions of one session pause at the busiest instance of the design size. */
   private static final int MAXIMUM_REPLICATED = 4096;
 
   private final Duration pause;
--- a/org.oatlug/src/org/oatlug/internal/gateway/SessionVersions.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/SessionVersions.java
@@ -23,10 +23,13 @@
  * recently used sessions. Owned by one event loop, not thread-safe.
  */
 final class SessionVersions {
-  /** The sessions of 2 minutes at the busiest instance of the design size. */
+  /** Enough for the sessions of 2 minutes at the busiest instance of the design size. */
   private static final int MAXIMUM_SESSIONS = 20_000;
 
-  /** The retention in session pauses; answers may end long after their request was recorded. */
+  /**
+   * The retention as a multiple of the session pause; answers may end long after their request was
+   * recorded.
+   */
   private static final int RETENTION_PAUSES = 4;
 
   private final Duration retention;
@@ -83,8 +86,8 @@
    * Records that another instance sent a request of the session to the version; the latest wins.
    */
   void recordRemote(long session, String version, Instant seenAt) {
-    Observation known = sessions.get(session);
-    if (known == null || known.at().isBefore(seenAt)) {
+    Observation previous = sessions.get(session);
+    if (previous == null || previous.at().isBefore(seenAt)) {
       sessions.put(session, new Observation(version, seenAt, false));
     }
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/StreamRelay.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/StreamRelay.java
@@ -26,7 +26,7 @@
     return new StreamRelay(lastEventId);
   }
 
-  /** Discards the partial event of an upstream that broke off, before another one continues. */
+  /** Discards the partial event of an interrupted stream, before another upstream continues it. */
   void resetForNextUpstream() {
     splitter = new EventSplitter();
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/UpstreamEligibility.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/UpstreamEligibility.java
@@ -52,7 +52,7 @@
     LEAVES("the upstream is leaving", "upstream-leaves"),
     /** Its availability zone is evacuated. */
     ZONE_EMPTIED("the availability zone of the upstream is being drained", "zone-emptied"),
-    /** It refused a request and asked instances to back off. */
+    /** It refused a request and asked to back off (Retry-After), and that time is not over. */
     RESTS("the upstream asked to back off", "upstream-rests"),
     /** All its connections are in use. */
     FULL("all connections of the upstream are in use", "upstream-full"),
@@ -74,7 +74,7 @@
       return reason;
     }
 
-    /** Returns the metric label for requests that are sent to another upstream instead. */
+    /** Returns the suffix of the counter of requests sent to another upstream instead. */
     String cause() {
       return cause;
     }
@@ -124,7 +124,10 @@
     return rates.advertisedLimitAllows(upstream, row, now) ? Optional.empty() : LIMITED;
   }
 
-  /** Returns the maximum connections of an upstream; each open request uses its own connection. */
+  /**
+   * Returns the maximum number of connections of an upstream, unlimited if its service sets none.
+   * Each open request uses its own connection.
+   */
   int connectionLimitOf(String service) {
     int connectionLimit =
         tables.service(service).map(ServiceDefinition::maximumConnections).orElse(0);
--- a/org.oatlug/src/org/oatlug/internal/gateway/UpstreamRateLimits.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/UpstreamRateLimits.java
@@ -18,7 +18,7 @@
 import org.oatlug.internal.table.UpstreamRow;
 
 /**
- * Enforces the rate limits of an upstream that all instances share: the limit during a cold start
+ * Enforces the rate limits of an upstream, which all instances share: the limit during a cold start
  * and the limit that the upstream advertises.
  *
  * <p>Invariant: an upstream is never limited if its service configures no cold-start limit and the
@@ -27,18 +27,18 @@
 final class UpstreamRateLimits {
   private final GatewayTables tables;
   private final GatewaySettings.Bounds bounds;
-  private final AdvertisedLimits advertised;
+  private final AdvertisedLimits advertisedLimits;
   private final SharedRateLimit coldLimit;
   private final SharedRateLimit advertisedLimit;
 
   private UpstreamRateLimits(
       GatewayTables tables,
       GatewaySettings.Bounds bounds,
-      AdvertisedLimits advertised,
+      AdvertisedLimits advertisedLimits,
       RateSenders senders) {
     this.tables = tables;
     this.bounds = bounds;
-    this.advertised = advertised;
+    this.advertisedLimits = advertisedLimits;
     this.coldLimit = SharedRateLimit.create(senders.ofCold());
     this.advertisedLimit = SharedRateLimit.create(senders.ofLimited());
   }
@@ -47,9 +47,9 @@
   static UpstreamRateLimits create(
       GatewayTables tables,
       GatewaySettings.Bounds bounds,
-      AdvertisedLimits advertised,
+      AdvertisedLimits advertisedLimits,
       RateSenders senders) {
-    return new UpstreamRateLimits(tables, bounds, advertised, senders);
+    return new UpstreamRateLimits(tables, bounds, advertisedLimits, senders);
   }
 
   /** Returns whether the upstream is warm or its cold-start limit admits a request. */
@@ -139,7 +139,7 @@
 
   /** Returns the target of the advertised limit, empty if the upstream advertises none. */
   private Optional<Target> advertisedTarget(UpstreamRecord upstream, UpstreamRow row) {
-    return advertised
+    return advertisedLimits
         .find(row.process())
         .map(limit -> Target.advertised(row.process(), upstream.zone(), limit));
   }
@@ -150,7 +150,7 @@
    */
   double totalAdvertisedRate(String service) {
     return tables.upstreamsOf(service).stream()
-        .flatMapToDouble(name -> advertised.of(tables.row(name).process()).stream())
+        .flatMapToDouble(name -> advertisedLimits.of(tables.row(name).process()).stream())
         .sum();
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/UpstreamRegistry.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/UpstreamRegistry.java
@@ -28,8 +28,8 @@
  *
  * <p>Invariants: an upstream process is identified by its name and start time; the state observed
  * of an earlier process is dropped as soon as the registration of the next one is merged. A zone
- * counts as drained from the merge of the drain until it is revoked. Owned by one event loop, not
- * thread-safe.
+ * counts as evacuated from the merge of its evacuation until the evacuation ends. Owned by one
+ * event loop, not thread-safe.
  */
 final class UpstreamRegistry {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
--- a/org.oatlug/src/org/oatlug/internal/gateway/UpstreamSelection.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/UpstreamSelection.java
@@ -86,7 +86,7 @@
    * The criteria by which an upstream is selected for a request.
    *
    * @param service the service
-   * @param version the constraint on the version of the upstream, empty for any version
+   * @param version the version preference, empty if any version may answer
    * @param model the model that generates the response, empty for none
    * @param generation the declared prompt and output sizes, empty if the request generates nothing
    * @param bodyBytes the size of the request body in bytes
@@ -102,7 +102,7 @@
       Set<String> excluded,
       boolean isolated) {
     private boolean matchesVersion(UpstreamRecord upstream) {
-      return version.map(constraint -> constraint.isSatisfiedBy(upstream.version())).orElse(true);
+      return version.map(preference -> preference.isSatisfiedBy(upstream.version())).orElse(true);
     }
 
     /** Returns the same criteria for another model. */
@@ -133,7 +133,8 @@
 
   /**
    * Returns the upstream with the lowest cost, empty if none is eligible. For a request that runs
-   * isolated, the upstream with the lowest load comes first, so that a crash affects few requests.
+   * isolated, upstreams that are not ejected and run no suspect come first, then those with the
+   * lowest load, so that a crash affects few requests.
    */
   Optional<Chosen> choose(Criteria criteria, Instant now) {
     Comparator<Chosen> byCost = Comparator.comparingDouble(Chosen::costMillis);
@@ -169,7 +170,7 @@
     return costs;
   }
 
-  /** Returns the check of whether an upstream may receive requests. */
+  /** Returns the eligibility check for upstreams. */
   UpstreamEligibility eligibility() {
     return eligibility;
   }
@@ -188,7 +189,7 @@
   private PlacementCost.UpstreamState upstreamState(
       Candidate candidate, FirstTokenForecast forecast, Instant now) {
     boolean otherZone = !candidate.upstream().zone().equals(zone);
-    boolean cutOff = otherZone && zones.isUnreachable(candidate.upstream().zone(), now);
+    boolean unreachable = otherZone && zones.isUnreachable(candidate.upstream().zone(), now);
     return new PlacementCost.UpstreamState(
         forecast,
         tables.loads().estimatedLoad(candidate.row()),
@@ -196,13 +197,14 @@
         otherZone,
         candidate.row().failureShare(now),
         candidate.row().isCold(now),
-        cutOff || candidate.row().ejected(now) || hasSuspect.test(candidate.name()));
+        unreachable || candidate.row().ejected(now) || hasSuspect.test(candidate.name()));
   }
 
   /**
-   * Returns the eligible upstreams that satisfy the version constraint and whose version is not
-   * awaiting an order; if there are none, all that satisfy the constraint; if there are none of
-   * those, all of any version, provided that the constraint allows it.
+   * Returns the eligible upstreams that satisfy the version preference and whose version is not
+   * waiting for its roll-out order; if there are none, all eligible upstreams that satisfy the
+   * preference; if there are none of those, all eligible upstreams, provided that the firmness of
+   * the preference allows any version.
    */
   private List<Candidate> candidates(Criteria criteria, Instant now) {
     List<Candidate> matching =
@@ -233,7 +235,10 @@
     };
   }
 
-  /** Returns whether the upstream, tried or not, satisfies the version constraint and stays. */
+  /**
+   * Returns whether the upstream satisfies the version preference and is neither leaving nor in an
+   * evacuated zone, no matter whether it has already been tried.
+   */
   private boolean remainsInService(Criteria criteria, String name) {
     UpstreamRecord upstream = tables.upstream(name).orElseThrow();
     return criteria.matchesVersion(upstream)
@@ -267,15 +272,15 @@
       return "";
     }
     int sharedTokens = parts.stream().limit(parts.size() - 1L).mapToInt(PromptPart::tokens).sum();
-    double rereadMillis =
+    double repeatedPrefillMillis =
         prefillEstimates.prefillModelOf(criteria.model().orElse("")).millisPerToken()
             * sharedTokens;
-    boolean anyZone = rereadMillis > PlacementCost.crossZoneMillis(criteria.bodyBytes());
-    long shared = parts.get(parts.size() - 2).hash();
+    boolean anyZone = repeatedPrefillMillis > PlacementCost.crossZoneMillis(criteria.bodyBytes());
+    long sharedPrefixHash = parts.get(parts.size() - 2).hash();
     String home = "";
     long highestScore = Long.MIN_VALUE;
     for (Candidate candidate : candidates) {
-      long score = candidate.row().rankFor(shared);
+      long score = candidate.row().rankFor(sharedPrefixHash);
       boolean inScope = anyZone || candidate.upstream().zone().equals(zone);
       if (inScope && score > highestScore) {
         highestScore = score;
@@ -293,9 +298,9 @@
   /**
    * The part of a prompt that an upstream has to prefill.
    *
-   * @param tokens its size in tokens
-   * @param certain whether the size follows only from prompts that were sent to the upstream, and
-   *     not from an assumption about the home
+   * @param tokens the number of uncached tokens
+   * @param certain whether the number follows only from prompts that were sent to the upstream, and
+   *     not from the assumption that the home upstream has cached the shared prefix
    */
   private record Uncached(double tokens, boolean certain) {}
 
@@ -308,9 +313,9 @@
    */
   private record Prompt(String model, Generation generation, List<Long> cacheKeys) {
     static Prompt of(String model, Generation generation) {
-      long hash = Hashes.hash64(model);
+      long modelHash = Hashes.hash64(model);
       List<Long> keys =
-          generation.prompt().stream().map(part -> Hashes.combine(hash, part.hash())).toList();
+          generation.prompt().stream().map(part -> Hashes.combine(modelHash, part.hash())).toList();
       return new Prompt(model, generation, keys);
     }
 
@@ -319,13 +324,13 @@
       int cachedTokens = 0;
       boolean certain = true;
       for (int index = 0; index < cacheKeys.size(); index++) {
-        boolean known = candidate.row().hasPrefix(cacheKeys.get(index));
+        boolean cached = candidate.row().hasPrefix(cacheKeys.get(index));
         boolean shared = index < cacheKeys.size() - 1;
         boolean assumed = shared && candidate.name().equals(home);
-        if (!known && !assumed) {
+        if (!cached && !assumed) {
           break;
         }
-        certain &= known;
+        certain &= cached;
         cachedTokens += generation.prompt().get(index).tokens();
       }
       return new Uncached(Math.max(0, generation.promptTokens() - cachedTokens), certain);
--- a/org.oatlug/src/org/oatlug/internal/gateway/VersionDecisionInputs.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/VersionDecisionInputs.java
@@ -41,7 +41,7 @@
     return knowledge == Knowledge.UNKNOWN || knowledge == Knowledge.NO_SESSION;
   }
 
-  /** Returns these inputs with the session knowledge of others. */
+  /** Returns these inputs with the session knowledge of the other inputs. */
   VersionDecisionInputs withKnowledgeOf(VersionDecisionInputs other) {
     return new VersionDecisionInputs(
         session, other.knowledge, other.before, other.ageMillis, part, share);
--- a/org.oatlug/src/org/oatlug/internal/gateway/VersionRule.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/VersionRule.java
@@ -17,8 +17,8 @@
     /** Any version may answer instead. */
     PREFERRED,
     /**
-     * Another version answers only if no upstream of this version is left. A session keeps its
-     * version, as a refusal costs it less than a change of version midway.
+     * Another version may answer only if no upstream of this version remains in service. A session
+     * keeps its version, as a refusal costs it less than a change of version between its requests.
      */
     KEPT,
     /** No other version may answer. */
@@ -29,7 +29,7 @@
    * A preference for or against a version.
    *
    * @param version the version concerned
-   * @param wanted whether this version is to answer; otherwise any other version is
+   * @param wanted true if this version is to answer, false if any version but this
    * @param firmness the behaviour if no available upstream satisfies the preference
    * @param basis the inputs of the choice, empty once the roll-out has ended
    */
