--- a/org.oatlug.entry/src/org/oatlug/entry/EntryInstance.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/EntryInstance.java
@@ -193,7 +193,10 @@
     return configured && !stopping && services.tables().freshness().isConfirmed();
   }
 
-  /** Confirms the configuration after a process pause; it stays unconfirmed until that succeeds. */
+  /**
+   * Confirms the configuration after a process pause. Requests are not dispatched until then; if
+   * neither the platform nor a peer responds, the instance continues without a confirmation.
+   */
   private void confirm(Tables tables, ConfigurationSystem configuration) {
     logger.atWarning().log("process pause detected; confirming the configuration again");
     services.meters().count("pause");
--- a/org.oatlug.entry/src/org/oatlug/entry/GatewayInstance.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/GatewayInstance.java
@@ -72,7 +72,7 @@
   /**
    * The part of the grace period reserved for closing open requests, so the process ends in time.
    */
-  private static final Duration CUT_BEFORE_END = Duration.ofMillis(400);
+  private static final Duration CLOSE_BEFORE_END = Duration.ofMillis(400);
 
   /** The maximum age of a configuration that this instance treats as fresh. */
   private static final Duration FRESHNESS = Duration.ofSeconds(12);
@@ -85,7 +85,7 @@
   private GatewaySettings settings;
   private Membership membership;
   private GatewayServer server;
-  private TcpPeerNetwork listener;
+  private TcpPeerNetwork peerListener;
   private List<TickSystem> systems = List.of();
   private Optional<Instant> listeningAt = Optional.empty();
   private Optional<Instant> servingAt = Optional.empty();
@@ -122,7 +122,7 @@
   private Future<?> listen(InspectionServer inspection, GatewayComponents components) {
     // The server for callers listens first: it takes over the socket that was opened for it.
     final Future<?> callers = server.listen();
-    listener.listen().onFailure(failure -> logger.atSevere().withCause(failure).log("peers"));
+    peerListener.listen().onFailure(failure -> logger.atSevere().withCause(failure).log("peers"));
     systems.forEach(TickSystem::tick);
     vertx.setPeriodic(TICK_MILLIS, unused -> systems.forEach(TickSystem::tick));
     return callers
@@ -157,8 +157,8 @@
   private GatewayComponents wire(Meters meters) {
     Platform platform = MeteredPlatform.of(adapter.platform(vertx, settings), meters);
     DeferredPeerHandler deferredHandler = new DeferredPeerHandler();
-    listener = TcpPeerNetwork.create(vertx, peerSettings(), membership::self, deferredHandler);
-    PeerNetwork network = MeteredPeerNetwork.of(listener, membership::self, meters);
+    peerListener = TcpPeerNetwork.create(vertx, peerSettings(), membership::self, deferredHandler);
+    PeerNetwork network = MeteredPeerNetwork.of(peerListener, membership::self, meters);
     membership.connect(network);
     ConfigurationSystem configuration = configurationSystem(platform, network, meters);
     RolloutDirector rollouts =
@@ -177,7 +177,7 @@
             () -> membership.live().size(),
             random,
             meters);
-    StateExchange gathering =
+    StateExchange stateExchange =
         StateExchange.create(
             membership,
             network,
@@ -185,12 +185,12 @@
             meters,
             GatewayParticipant.of(components, rollouts),
             components.crashLedger());
-    rollouts.onRefuted(gathering::sendReportNow);
+    rollouts.onRefuted(stateExchange::sendReportNow);
     deferredHandler.setDelegate(
         new SharedStateHandler(
             membership,
             configuration,
-            (from, message) -> Uni.createFrom().item(gathering.handle(from, message))));
+            (from, message) -> Uni.createFrom().item(stateExchange.handle(from, message))));
     readinessGate =
         ReadinessGate.create(
             clock,
@@ -198,8 +198,8 @@
             () -> configuration.hasReadAll() && configuration.isInSync(),
             () ->
                 !tables.hasRunningRollout()
-                    || gathering.hasInitialExchange()
-                    || gathering.hasSessionRecords() && rollouts.knowsOrderAges());
+                    || stateExchange.hasInitialExchange()
+                    || stateExchange.hasSessionRecords() && rollouts.knowsOrderAges());
     server = GatewayServer.create(components, random, readinessGate::isOpen);
     PauseDetector pause = PauseDetector.create(clock, components::handleProcessPause);
     systems =
@@ -208,7 +208,7 @@
             configuration,
             membership::tick,
             rollouts,
-            gathering,
+            stateExchange,
             senders,
             this::openGateWhenReady);
     return components;
@@ -289,7 +289,8 @@
   @Override
   public void applySettings(GatewaySettings changed) {
     if (context == null) {
-      logger.atInfo().log("settings read anew before the start, they hold from the next start on");
+      logger.atInfo().log(
+          "settings read anew before the start, they take effect at the next start");
       return;
     }
     context.runOnContext(
@@ -307,10 +308,11 @@
     context.runOnContext(
         unused -> {
           logger.atInfo().log(
-              "instance %s shuts down gracefully, %d open", settings.name(), server.openRequests());
+              "instance %s shuts down gracefully, %d open requests",
+              settings.name(), server.openRequests());
           stopping = true;
           membership.leave();
-          long grace = settings.bounds().grace().minus(CUT_BEFORE_END).toMillis();
+          long grace = settings.bounds().grace().minus(CLOSE_BEFORE_END).toMillis();
           server.beginShutdown(clock.instant().plusMillis(grace));
           vertx.setTimer(BALANCER_LAG.toMillis(), timer -> awaitOpenRequests(promise));
           vertx.setTimer(Math.max(1, grace), timer -> endGracePeriod(promise));
--- a/org.oatlug/src/org/oatlug/gateway/GatewaySettings.java
+++ b/org.oatlug/src/org/oatlug/gateway/GatewaySettings.java
@@ -118,25 +118,21 @@
       Duration session,
       double coldShare,
       double coldReserve) {
-    /** Applies if the settings have no grace period: a planned shutdown then ends soon. */
+    /** Default grace period: a planned shutdown ends soon. */
     private static final double DEFAULT_GRACE_SECONDS = 5;
 
-    /** Applies if the settings have no bound on retries: there are few then. */
+    /** Default bound on retries: few are allowed. */
     private static final double DEFAULT_RETRY_SHARE = 0.1;
 
     private static final double DEFAULT_RETRY_RESERVE = 10;
 
-    /**
-     * Applies if the settings have no bound on exposure: new versions then receive little traffic.
-     */
+    /** Default bound on exposure: a new version receives little traffic. */
     private static final double DEFAULT_EXPOSURE_SHARE = 0.05;
 
-    /** Applies if the settings have no session time; keeping sessions for too long is harmless. */
+    /** Default session time; a session that is kept for longer than guaranteed is harmless. */
     private static final double DEFAULT_SESSION_SECONDS = 30;
 
-    /**
-     * Applies if the settings have no cold-start bound: the advertised rate is not exceeded then.
-     */
+    /** Default bound for cold upstreams: the advertised rate is not exceeded. */
     private static final double DEFAULT_COLD_SHARE = 1;
 
     private static final double DEFAULT_COLD_RESERVE = 0;
@@ -150,7 +146,7 @@
     /**
      * Returns the bounds of the settings; missing fields have conservative defaults.
      *
-     * @throws IllegalArgumentException if a value is out of range; the message has its field and
+     * @throws IllegalArgumentException if a value is out of range; the message names its field and
      *     unit
      */
     public static Bounds of(
--- a/org.oatlug/src/org/oatlug/internal/billing/BillingSystem.java
+++ b/org.oatlug/src/org/oatlug/internal/billing/BillingSystem.java
@@ -71,7 +71,7 @@
   }
 
   /**
-   * Creates an instance without bills.
+   * Returns a system without bills.
    *
    * @param ledger submits an entry and completes when it is confirmed
    */
@@ -84,7 +84,10 @@
     return new BillingSystem(membership, network, ledger, clock, meters);
   }
 
-  /** Returns whether the maximum number of bills is reached, so that no more may be opened. */
+  /**
+   * Returns whether the maximum number of bills is reached, so that no more may be opened until the
+   * ledger has confirmed some.
+   */
   public boolean isFull() {
     return ownBills.size() + heldBills.size() >= MAXIMUM_BILLS;
   }
@@ -100,13 +103,13 @@
   }
 
   /** Opens a bill; completes when a witness has acknowledged it, or none is reachable. */
-  public Uni<Void> open(Bill intent) {
-    List<Member> selected = chooseWitnesses(intent.id());
-    witnesses.put(intent.id(), selected);
+  public Uni<Void> open(Bill provisionalBill) {
+    List<Member> selected = chooseWitnesses(provisionalBill.id());
+    witnesses.put(provisionalBill.id(), selected);
     if (selected.isEmpty()) {
       meters.count("bill.without-witness");
     }
-    return sendToWitnesses(intent);
+    return sendToWitnesses(provisionalBill);
   }
 
   /** Sends the current state of a bill to the witnesses without waiting for acknowledgement. */
--- a/org.oatlug/src/org/oatlug/internal/config/ConfigurationSystem.java
+++ b/org.oatlug/src/org/oatlug/internal/config/ConfigurationSystem.java
@@ -27,10 +27,10 @@
 /**
  * Applies published objects on this instance and replicates them between instances.
  *
- * <p>The readers of an availability zone watch the platform and push changes to all others, see
- * {@link ObjectBroadcaster}. Every instance periodically compares digests with a peer, which
- * repairs lost pushes. Objects are merged, see {@link ObjectJoin}, so late or duplicate messages
- * have no effect. Owned by one event loop, not thread-safe.
+ * <p>The readers of an availability zone watch the platform and push changes to the other
+ * instances, see {@link ObjectBroadcaster}. Every instance periodically compares digests with a
+ * peer, which repairs lost pushes. Objects are merged, see {@link ObjectJoin}, so late or duplicate
+ * messages have no effect. Owned by one event loop, not thread-safe.
  */
 public final class ConfigurationSystem implements TickSystem {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -39,7 +39,7 @@
   private static final Duration EXCHANGE_TIMEOUT = Duration.ofMillis(800);
 
   /**
-   * Timeout of the question whether a peer is in sync. It is longer than that of an exchange, as a
+   * Timeout of the query whether a peer is in sync. It is longer than that of an exchange, as a
    * process that has just started is slow, and so are its first connections. Where no process
    * listens, the connection is refused at once.
    */
@@ -76,20 +76,20 @@
       Platform platform,
       Membership membership,
       PeerNetwork network,
-      Dependencies support) {
+      Dependencies dependencies) {
     this.objects = objects;
     this.freshness = freshness;
     this.platform = platform;
     this.membership = membership;
     this.network = network;
-    this.clock = support.clock();
-    this.random = support.random();
-    this.meters = support.meters();
+    this.clock = dependencies.clock();
+    this.random = dependencies.random();
+    this.meters = dependencies.meters();
     this.broadcaster =
         ObjectBroadcaster.create(membership, network, random, meters, this::contactAgeMillis);
     this.startupSync = StartupSync.create(membership, random, new SyncPeers());
     this.role = ReaderRole.create(membership, network, clock, meters, this::probePlatform);
-    this.watches = support.watchGroups().stream().map(this::createWatch).toList();
+    this.watches = dependencies.watchGroups().stream().map(this::createWatch).toList();
   }
 
   /**
@@ -110,8 +110,8 @@
       Platform platform,
       Membership membership,
       PeerNetwork network,
-      Dependencies support) {
-    return new ConfigurationSystem(objects, freshness, platform, membership, network, support);
+      Dependencies dependencies) {
+    return new ConfigurationSystem(objects, freshness, platform, membership, network, dependencies);
   }
 
   @Override
@@ -169,8 +169,12 @@
 
   /** Refreshes the objects from the platform or a peer; succeeds even if neither responds. */
   public Uni<Void> confirm() {
-    Uni<Void> withPeer = exchangeWithAny();
-    return listOnce().onFailure().recoverWithUni(unused -> withPeer).onFailure().recoverWithNull();
+    Uni<Void> peerExchange = exchangeWithAny();
+    return listOnce()
+        .onFailure()
+        .recoverWithUni(unused -> peerExchange)
+        .onFailure()
+        .recoverWithNull();
   }
 
   /** Reads one list from the platform, unless a healthy watch exists already. */
@@ -231,8 +235,8 @@
     }
 
     @Override
-    public void received(List<StoredObject> read, StoreRevision revision, Origin origin) {
-      applyRead(read, revision, origin);
+    public void received(List<StoredObject> readObjects, StoreRevision revision, Origin origin) {
+      applyRead(readObjects, revision, origin);
     }
 
     @Override
@@ -273,15 +277,15 @@
   }
 
   /** Counts and logs an object of the store whose content differs from the applied one. */
-  private void recordIfIgnored(StoredObject read, Origin origin) {
-    Optional<StoredObject> known = objects.join().get(read.key());
-    if (known.isEmpty() || known.get().value().equals(read.value())) {
+  private void recordIfIgnored(StoredObject stored, Origin origin) {
+    Optional<StoredObject> known = objects.join().get(stored.key());
+    if (known.isEmpty() || known.get().value().equals(stored.value())) {
       return;
     }
-    meters.count("store.ignored." + read.key().kind());
+    meters.count("store.ignored." + stored.key().kind());
     logger.atInfo().atMostEvery(IGNORED_OBJECT_LOG_INTERVAL_SECONDS, TimeUnit.SECONDS).log(
         "ignored %s revision=%s, revision=%s is applied %s",
-        read.key(), read.revision(), known.get().revision(), origin);
+        stored.key(), stored.revision(), known.get().revision(), origin);
   }
 
   private void exchange(Instant now) {
@@ -296,9 +300,9 @@
     }
   }
 
-  /** Starts a comparison; the next one makes up for a failure. */
-  private void startExchange(Uni<Void> comparison) {
-    comparison.subscribe().with(unused -> {}, this::handleExchangeFailure);
+  /** Starts an exchange; if it fails, a later exchange makes up for it. */
+  private void startExchange(Uni<Void> exchange) {
+    exchange.subscribe().with(unused -> {}, this::handleExchangeFailure);
   }
 
   private void handleExchangeFailure(Throwable failure) {
--- a/org.oatlug/src/org/oatlug/internal/config/ObjectBroadcaster.java
+++ b/org.oatlug/src/org/oatlug/internal/config/ObjectBroadcaster.java
@@ -36,7 +36,7 @@
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   /**
-   * How long an instance may take to acknowledge a push before its subtree is sent the push
+   * Time within which an instance must acknowledge a push; otherwise its subtree is sent the push
    * directly. Many times the latency between zones, and short enough that two unresponsive
    * instances in a row cost less than a third of the two seconds for which leaving upstreams still
    * serve.
@@ -146,8 +146,8 @@
         membership.zonePeers().stream()
             .collect(Collectors.toMap(Member::name, Function.identity()));
     byReceiver.forEach(
-        (name, received) ->
-            pushTo(pushTrees, name, Optional.ofNullable(peers.get(name)), received));
+        (name, receiverChanges) ->
+            pushTo(pushTrees, name, Optional.ofNullable(peers.get(name)), receiverChanges));
   }
 
   /**
@@ -157,7 +157,7 @@
    */
   private void pushTo(
       BroadcastTrees pushTrees, String name, Optional<Member> peer, List<StoredObject> changes) {
-    // Otherwise the subtree would not receive the changes before a comparison of digests.
+    // If the peer did not relay them, its subtree would get the changes only by comparing digests.
     Runnable pushToSubtree =
         () -> push(pushTrees, changes, change -> pushTrees.childrenOf(change, name));
     if (peer.isEmpty()) {
--- a/org.oatlug/src/org/oatlug/internal/config/ReaderRole.java
+++ b/org.oatlug/src/org/oatlug/internal/config/ReaderRole.java
@@ -31,7 +31,7 @@
 final class ReaderRole {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** How long a substitute reads after a request: a few times the interval of requests. */
+  /** Time for which a substitute reads after a request: a few times the interval of requests. */
   private static final Duration SUBSTITUTION_TIME = Duration.ofSeconds(3);
 
   /** Interval at which a reader whose calls to the platform fail requests a substitute. */
@@ -46,9 +46,9 @@
   private static final int MAXIMUM_REQUESTS_PER_INTERVAL = 3;
 
   /**
-   * How long a starting instance discovers the others of its zone before it may be a reader.
-   * Without this delay, instances that start at once would all watch the store like readers. Less
-   * than the time for which leaving upstreams still serve, as no changes are read during the delay.
+   * Time for which a starting instance discovers its zone peers before it may be a reader. Without
+   * this delay, instances that start at once would all watch the store like readers. Less than the
+   * time for which leaving upstreams still serve, as no changes are read during the delay.
    */
   private static final Duration DISCOVERY_TIME = Duration.ofMillis(1200);
 
--- a/org.oatlug/src/org/oatlug/internal/config/StoreWatch.java
+++ b/org.oatlug/src/org/oatlug/internal/config/StoreWatch.java
@@ -50,14 +50,14 @@
   private static final int OUTAGE_FAILURES = 2;
 
   /**
-   * How long after an outage missing entries are expected to reappear: the two seconds within which
+   * Time after an outage within which missing entries may reappear: the two seconds within which
    * the platform states that they do, less the remainder of the bound for leaving upstreams.
    */
   private static final Duration EXPIRY_GRACE = Duration.ofMillis(1800);
 
   /**
-   * How long after a restore missing objects of operators are expected to be written again. No
-   * bound exists for that; an intended deletion is delayed by no more than one list interval.
+   * Time after a restore within which operators may write missing objects again. No bound exists
+   * for that; an intended deletion is delayed by no more than one list interval.
    */
   private static final Duration REWRITE_GRACE = LIST_INTERVAL;
 
@@ -150,7 +150,7 @@
     openCall = openCall.map(placeholder -> subscription);
   }
 
-  /** Restarts with a list if the store was restored; an older call may never return changes. */
+  /** Restarts with a list if the store was restored; an open call may never return changes. */
   private void checkEpoch() {
     long newest = platform.epoch().newest();
     if (newest <= epoch) {
@@ -245,7 +245,8 @@
   /**
    * Returns the upstream entries for which newer content than that of the restored copy was known,
    * and which the store still has so long after the restore that every live upstream has written
-   * its entry again. The store expires the entries of the others, so these are valid as listed.
+   * its entry again. The store expires the entries of all other upstreams, so these are valid as
+   * listed.
    */
   private List<StoredObject> confirmedUpstreams(Platform.Batch batch) {
     if (clock.instant().isBefore(epochSince.plus(REWRITE_GRACE))) {
@@ -283,7 +284,7 @@
 
   private void handleChanges(Platform.Batch batch) {
     if (batch.revision().epoch() != revision.epoch()) {
-      // The new epoch reuses revisions: changes below this one since the restore would be missed.
+      // The new epoch reuses revisions: a watch would miss its changes up to this one.
       restartWithList();
       return;
     }
@@ -317,7 +318,8 @@
     openCall = Optional.empty();
     revision = StoreRevision.NONE;
     consecutiveFailures++;
-    // Retry at once after the first failure; in an outage the watches share one probe.
+    // Retry at once after the first failure; in an outage the watches share one probe, see
+    // OutageProbe.
     boolean outage = consecutiveFailures >= OUTAGE_FAILURES;
     nextCall = outage ? clock.instant().plus(OutageProbe.RETRY_INTERVAL) : clock.instant();
     if (consecutiveFailures >= OUTAGE_FAILURES) {
--- a/org.oatlug/src/org/oatlug/internal/http/ChatPlan.java
+++ b/org.oatlug/src/org/oatlug/internal/http/ChatPlan.java
@@ -375,7 +375,8 @@
     return services
         .rating()
         .rate(answer)
-        .invoke(satisfied -> satisfied.ifPresent(isMet -> rated(route, subject, isMet)));
+        .invoke(
+            satisfied -> satisfied.ifPresent(isSatisfied -> rated(route, subject, isSatisfied)));
   }
 
   private void rated(Route route, RatingTable.Subject subject, boolean satisfied) {
--- a/org.oatlug/src/org/oatlug/internal/http/Forwarding.java
+++ b/org.oatlug/src/org/oatlug/internal/http/Forwarding.java
@@ -70,7 +70,9 @@
     whenConfirmed(services.clock().instant().plus(CONFIRMATION_TIMEOUT), this::decide);
   }
 
-  /** Runs the action once the configuration is confirmed after a process pause, or at the limit. */
+  /**
+   * Runs the action once the configuration is confirmed after a process pause, or after the limit.
+   */
   private void whenConfirmed(Instant timeLimit, Runnable action) {
     services.pauseDetector().check();
     boolean isLate = services.clock().instant().isAfter(timeLimit);
@@ -305,8 +307,8 @@
   }
 
   /**
-   * An upstream that sheds load and requests back-off is not counted as failed; it is excluded
-   * until the back-off ends.
+   * Records a failed attempt. An upstream that sheds load and asks to back off is not counted as
+   * failed; it is excluded until the back-off ends.
    */
   private void recordFailure(UpstreamRow row, UpstreamFailedException failure) {
     Instant now = services.clock().instant();
--- a/org.oatlug/src/org/oatlug/internal/ledger/ClaimSystem.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/ClaimSystem.java
@@ -53,7 +53,7 @@
   }
 
   /**
-   * Creates an instance.
+   * Returns a system without queued entries.
    *
    * @param ledger submits an entry and completes when it is confirmed
    */
--- a/org.oatlug/src/org/oatlug/internal/rollout/OrderAge.java
+++ b/org.oatlug/src/org/oatlug/internal/rollout/OrderAge.java
@@ -58,15 +58,15 @@
   /**
    * Returns the age of the order.
    *
-   * @param begunAtMillis the wall-clock time at which its roll-out started, in milliseconds since
-   *     1970; empty if it has not started
+   * @param rolloutStartMillis the wall-clock time at which its roll-out started, in milliseconds
+   *     since 1970; empty if it has not started
    */
-  public Duration at(Instant now, OptionalLong begunAtMillis) {
+  public Duration at(Instant now, OptionalLong rolloutStartMillis) {
     Duration elapsed = Duration.between(known ? orderedAt : firstReadAt, now);
-    if (known || begunAtMillis.isEmpty()) {
+    if (known || rolloutStartMillis.isEmpty()) {
       return elapsed;
     }
-    Duration byWallClock = Duration.ofMillis(now.toEpochMilli() - begunAtMillis.getAsLong());
+    Duration byWallClock = Duration.ofMillis(now.toEpochMilli() - rolloutStartMillis.getAsLong());
     return byWallClock.compareTo(elapsed) > 0 ? byWallClock : elapsed;
   }
 
--- a/org.oatlug/src/org/oatlug/internal/routing/PlacementCost.java
+++ b/org.oatlug/src/org/oatlug/internal/routing/PlacementCost.java
@@ -14,8 +14,8 @@
  */
 public final class PlacementCost {
   /**
-   * Additional cost of a plain service in another zone, in milliseconds. It is chosen only if the
-   * upstreams of the own zone are full or failing.
+   * Additional cost of a plain service in another zone, in milliseconds. Such an upstream is chosen
+   * only if the upstreams of the own zone are full or failing.
    */
   private static final double OTHER_ZONE_MILLIS = 400;
 
--- a/org.oatlug/src/org/oatlug/internal/routing/Router.java
+++ b/org.oatlug/src/org/oatlug/internal/routing/Router.java
@@ -208,7 +208,7 @@
   private List<String> newSessionVersions(
       String model, Tables tables, Instant now, List<PassedOver> passedOver) {
     List<String> versions = new ArrayList<>();
-    candidate(model, tables, now, passedOver).ifPresent(versions::add);
+    sampledCandidate(model, tables, now, passedOver).ifPresent(versions::add);
     Optional<String> current = tables.catalogue().currentVersion(model);
     if (current.isEmpty()) {
       passedOver.add(new PassedOver(model, Reason.NO_CURRENT_VERSION));
@@ -217,7 +217,8 @@
     return versions;
   }
 
-  private Optional<String> candidate(
+  /** Returns the candidate if it may serve this session and the session is in its share. */
+  private Optional<String> sampledCandidate(
       String model, Tables tables, Instant now, List<PassedOver> passedOver) {
     Optional<Rollout> rollout = tables.catalogue().rollout(model);
     if (rollout.isEmpty()) {
--- a/org.oatlug/src/org/oatlug/internal/table/UpstreamRow.java
+++ b/org.oatlug/src/org/oatlug/internal/table/UpstreamRow.java
@@ -208,7 +208,10 @@
     return inFlight;
   }
 
-  /** Returns the reported number of requests, adjusted by this instance's changes since then. */
+  /**
+   * Returns the reported number of requests, adjusted by the attempts that this instance has
+   * dispatched and finished since then; at least the number of its open attempts.
+   */
   public int expectedLoad() {
     int lastReport = reportedRunning + reportedWaiting;
     int expected = lastReport + dispatchedSinceReport - finishedSinceReport;
