--- a/org.oatlug/src/org/oatlug/internal/config/StoreWatch.java
+++ b/org.oatlug/src/org/oatlug/internal/config/StoreWatch.java
@@ -284,7 +284,7 @@
 
   private void handleChanges(Platform.Batch batch) {
     if (batch.revision().epoch() != revision.epoch()) {
-      // The new epoch reuses revisions: a watch would miss its changes up to this one.
+      // The new epoch reuses revisions: a watch would miss its changes up to this revision.
       restartWithList();
       return;
     }
