--- a/org.oatlug.test/tst/org/oatlug/test/GatewayStateProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/GatewayStateProcessTest.java
@@ -132,7 +132,8 @@
     awaitNoMoreRequests(cluster.upstreams.get("i-1"));
     cluster.store.compact();
     Await.until(
-        "the stale list is read", () -> Files.readString(cluster.log(0)).contains("fails for"));
+        "the stale list is read",
+        () -> Files.readString(cluster.log(0)).contains("from the platform failed at revision"));
     int before = cluster.upstreams.get("i-1").arrivals().size();
     for (int round = 0; round < 20; round++) {
       assertEquals(status(0), 200);
