--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/CallerLeftTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/CallerLeftTest.java
@@ -19,7 +19,7 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests that a request is not sent on after its caller has disconnected.
+ * Tests that a request is not forwarded after its caller has disconnected.
  *
  * <p>Guards against requests that reach an upstream seconds after their caller closed the
  * connection. On a busy instance, the event loop processes everything that was ready earlier in the
@@ -31,12 +31,12 @@
   private GatewayServerFixture server;
 
   @BeforeMethod
-  void begin() {
+  void setUp() {
     server = new GatewayServerFixture();
   }
 
   @AfterMethod
-  void end() {
+  void tearDown() {
     server.close();
   }
 
@@ -64,7 +64,7 @@
   }
 
   @Test
-  public void testRequestIsNotSentOnAfterItsCallerDisconnected() throws Exception {
+  public void testRequestIsNotForwardedAfterItsCallerDisconnected() throws Exception {
     final UpstreamStandin upstream = server.addUpstream("only", "hall-a");
     int port = server.listen();
     CountDownLatch chosen = new CountDownLatch(1);
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayDecisionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayDecisionTest.java
@@ -58,7 +58,7 @@
   private long revision;
 
   @BeforeMethod
-  void begin() {
+  void setUp() {
     tables = GatewayTables.create(clock);
     revision = 0;
   }
@@ -124,9 +124,9 @@
   }
 
   private UpstreamSelection.Criteria criteria(
-      Optional<VersionRule.VersionPreference> constraint, Set<String> excluded) {
+      Optional<VersionRule.VersionPreference> preference, Set<String> excluded) {
     return new UpstreamSelection.Criteria(
-        "pool", constraint, Optional.empty(), Optional.empty(), 0, excluded, false);
+        "pool", preference, Optional.empty(), Optional.empty(), 0, excluded, false);
   }
 
   private UpstreamRateLimits noRateLimits() {
@@ -140,7 +140,10 @@
     return UpstreamRateLimits.create(tables, bounds, limits, senders);
   }
 
-  /** A connection becomes free soon; callers must not get the long delay of a limited upstream. */
+  /**
+   * One upstream is limited, and the other is full but has a free connection soon: callers must not
+   * be told the long wait for the limited one.
+   */
   @Test
   public void testFullUpstreamsAreNotReportedAsLimited() {
     configuration(1, "key");
@@ -148,10 +151,10 @@
     upstream("i-2", "here", "v1", false);
     AdvertisedLimits limits = AdvertisedLimits.create(clock);
     limits.advertised(tables.row("i-1").process(), 1);
-    RateSenders noOtherSenders =
-        new RateSenders(SenderSelection.ALONE, (upstream, zone, most, turn) -> 0);
+    RateSenders notAmongSenders =
+        new RateSenders(SenderSelection.ALONE, (upstream, zone, maximum, rotation) -> 0);
     UpstreamEligibility eligibility =
-        UpstreamEligibility.of(tables, rateLimits(limits, noOtherSenders));
+        UpstreamEligibility.of(tables, rateLimits(limits, notAmongSenders));
     for (int connection = 0; connection < 100; connection++) {
       tables.row("i-2").reserve();
     }
@@ -176,10 +179,10 @@
   }
 
   private Optional<String> choose(
-      Optional<VersionRule.VersionPreference> constraint, Set<String> excluded) {
+      Optional<VersionRule.VersionPreference> preference, Set<String> excluded) {
     UpstreamSelection selection = selection();
     return selection
-        .choose(criteria(constraint, excluded), now)
+        .choose(criteria(preference, excluded), now)
         .map(UpstreamSelection.Chosen::name);
   }
 
@@ -443,7 +446,7 @@
   }
 
   @Test
-  public void testEscalationOnRouteWithoutGoal() {
+  public void testLowConfidenceResponseIsReplacedOnRouteWithoutGoal() {
     configuration(1, "k");
     Route withoutGoal = route("a", "/x/", 0);
     assertEquals(escalation(withoutGoal, ResponseTimes.create(clock), 0, 300), OptionalInt.of(2));
@@ -519,17 +522,17 @@
             Duration.ofSeconds(8), 0.9, 52, 0.15, Duration.ofSeconds(5), 1.5, 5);
     int retries = 0;
     int instances = 7;
-    int firstTries = 100;
+    int requestsPerInstance = 100;
     for (int instance = 0; instance < instances; instance++) {
       RetryBudgets budgets = RetryBudgets.within(bounds, () -> 7);
-      for (int request = 0; request < firstTries; request++) {
+      for (int request = 0; request < requestsPerInstance; request++) {
         budgets.of("pool").recordFirstAttempt();
         for (int attempt = 0; attempt < 3; attempt++) {
           retries += budgets.of("pool").takeRetry() ? 1 : 0;
         }
       }
     }
-    assertTrue(retries <= 0.9 * instances * firstTries + 52, "retries " + retries);
-    assertTrue(retries > 0.6 * instances * firstTries, "retries " + retries);
+    assertTrue(retries <= 0.9 * instances * requestsPerInstance + 52, "retries " + retries);
+    assertTrue(retries > 0.6 * instances * requestsPerInstance, "retries " + retries);
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayServerFixture.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayServerFixture.java
@@ -37,8 +37,8 @@
 import org.oatlug.test.Ports;
 
 /**
- * A server for callers in this process, with upstreams, that can be interrupted while it chooses an
- * upstream. Stops what it started on close; used from one thread.
+ * Runs a gateway server and its upstreams in this process, and an action of the test while the
+ * server chooses an upstream. Stops what it started on close; used from one thread.
  */
 final class GatewayServerFixture implements AutoCloseable {
   static final String HOST = "127.0.0.1";
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/LeavingUpstreamTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/LeavingUpstreamTest.java
@@ -21,8 +21,9 @@
  * Tests requests whose selected upstream becomes unavailable before the connection to it is open.
  *
  * <p>Guards against requests that reach an upstream after it has announced that it is leaving.
- * Opening a connection may take 400 ms, or longer if the process is suspended, so the upstream may
- * leave between its selection and the write. The request must be checked again before the write.
+ * Opening a connection may take up to 400 ms, or longer if the process is suspended, so the
+ * upstream may start to leave between its selection and the write. It must be checked again before
+ * the write.
  */
 public class LeavingUpstreamTest {
   private static final String NEAR = "near";
@@ -31,12 +32,12 @@
   private GatewayServerFixture server;
 
   @BeforeMethod
-  void begin() {
+  void setUp() {
     server = new GatewayServerFixture();
   }
 
   @AfterMethod
-  void end() {
+  void tearDown() {
     server.close();
   }
 
@@ -53,7 +54,8 @@
   }
 
   @Test
-  public void testRequestIsRedirectedWhenItsUpstreamLeavesBeforeTheWrite() throws Exception {
+  public void testRequestGoesToAnotherUpstreamWhenItsUpstreamLeavesBeforeTheWrite()
+      throws Exception {
     final UpstreamStandin near = server.addUpstream(NEAR, "hall-a");
     final UpstreamStandin far = server.addUpstream(FAR, "hall-b");
     int port = server.listen();
@@ -63,9 +65,10 @@
     assertEquals(far.arrivals().size(), 1, "requests at the other upstream");
   }
 
-  /** The upstream may ask to back off while the connection for this request is being opened. */
+  /** The upstream may ask another request to back off while this one opens its connection. */
   @Test
-  public void testRequestIsRedirectedWhenItsUpstreamBacksOffBeforeTheWrite() throws Exception {
+  public void testRequestGoesToAnotherUpstreamWhenItsUpstreamBacksOffBeforeTheWrite()
+      throws Exception {
     final UpstreamStandin near = server.addUpstream(NEAR, "hall-a");
     final UpstreamStandin far = server.addUpstream(FAR, "hall-b");
     int port = server.listen();
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/NewStartTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/NewStartTest.java
@@ -26,8 +26,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests that the observed state of an upstream ends with its process, even if the next process has
- * the same name.
+ * Tests that the observed state of an upstream is discarded with its process, even if the next
+ * process has the same name.
  *
  * <p>Guards against state that is keyed by the name alone: prompts are then sent to a restarted
  * process as if it still cached them, and it is ejected for the failures of its predecessor.
@@ -40,7 +40,7 @@
   private long revision;
 
   @BeforeMethod
-  void begin() {
+  void setUp() {
     tables = GatewayTables.create(() -> now);
     revision = 0;
   }
@@ -81,7 +81,7 @@
   }
 
   @Test
-  public void testNewStartUnderTheSameNameResetsState() {
+  public void testNewProcessOfTheSameNameHasInitialState() {
     UpstreamRow earlier = rowAfter(record().startedAt(1000));
     recordState(earlier);
     UpstreamRow later = rowAfter(record().startedAt(2000));
@@ -91,13 +91,13 @@
   }
 
   @Test
-  public void testEarlierStartTimeIsAnotherStart() {
+  public void testEarlierStartTimeAlsoMeansAnotherProcess() {
     recordState(rowAfter(record().startedAt(2000)));
     assertInitialState(rowAfter(record().startedAt(1000)));
   }
 
   @Test
-  public void testExpiredAndRestoredEntryIsIdentifiedByItsStart() {
+  public void testExpiredAndRestoredEntryIsIdentifiedByItsStartTime() {
     UpstreamRow earlier = rowAfter(record().startedAt(1000));
     recordState(earlier);
     ObjectKey key = ObjectKey.valueOf(GatewayKinds.UPSTREAM, NAME);
@@ -110,7 +110,7 @@
   }
 
   @Test
-  public void testStaleEntryOfTheEarlierStartChangesNothing() {
+  public void testStaleEntryOfTheEarlierProcessChangesNothing() {
     StoredObject earlierEntry = stored(record().startedAt(1000));
     tables.mergeAll(List.of(earlierEntry));
     UpstreamRow later = rowAfter(record().startedAt(2000));
@@ -121,7 +121,7 @@
   }
 
   @Test
-  public void testEntryWithoutStartKeepsState() {
+  public void testEntryWithoutStartTimeKeepsState() {
     UpstreamRow earlier = rowAfter(record());
     earlier.rememberPrefix(7);
     assertSame(rowAfter(record()), earlier);
@@ -131,7 +131,7 @@
   }
 
   @Test
-  public void testLateReportAndResponseOfTheEarlierStartAreIgnored() {
+  public void testLateReportAndResponseOfTheEarlierProcessAreIgnored() {
     UpstreamRow earlier = rowAfter(record().startedAt(1000));
     earlier.reserve();
     final UpstreamRow later = rowAfter(record().startedAt(2000));
@@ -142,7 +142,7 @@
   }
 
   @Test
-  public void testPeerReportsOfTheEarlierStartDoNotApplyToTheNewOne() {
+  public void testPeerReportsOfTheEarlierProcessDoNotApplyToTheNewOne() {
     UpstreamRow earlier = rowAfter(record().startedAt(1000));
     PrefillBacklog prefillBacklog = PrefillBacklog.create();
     prefillBacklog.begin(earlier.process(), 100);
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/ReadinessGateTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/ReadinessGateTest.java
@@ -36,6 +36,7 @@
     assertTrue(gate.isOpen(), "the gate stays open");
   }
 
+  /** A fleet that cannot read the orders must still serve. */
   @Test
   public void testGateOpensAfterMaximumWaitWithoutOrders() {
     ReadinessGate gate = gate();
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/RestoredObjectsTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/RestoredObjectsTest.java
@@ -84,7 +84,7 @@
       write(UPSTREAM, entry);
     }
 
-    private void order() {
+    private void orderRollout() {
       StoreRevision created = new StoreRevision(epoch, number + 1);
       write(ROLLOUT, new ServiceRollout("pool", "v2", created, 1, Optional.empty()));
     }
@@ -123,7 +123,7 @@
       }
     }
 
-    /** Returns the restored content; an order carries its revision in the new epoch. */
+    /** Returns the restored content; a roll-out order carries its revision in the new epoch. */
     private JsonNode restoredValue(StoredObject copied) throws Exception {
       if (!copied.key().equals(ROLLOUT)) {
         return copied.value();
@@ -157,7 +157,7 @@
         }
         case 5 -> {
           if (!stored.containsKey(ROLLOUT)) {
-            order();
+            orderRollout();
           }
         }
         case 6 -> progress();
@@ -186,7 +186,7 @@
   }
 
   @Property(tries = 2000, seed = SEED)
-  void testStateIsIndependentOfOrderAndRepetition(
+  void testStateIsIndependentOfMergeOrderAndRepetition(
       @ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int steps) throws Exception {
     History history = new History(seed);
     for (int step = 0; step < steps; step++) {
@@ -257,7 +257,7 @@
   }
 
   @Property(tries = 1, seed = SEED)
-  void testEndedOrderStaysEndedUntilItIsOrderedAgain() throws Exception {
+  void testEndedRolloutStaysEndedUntilItIsOrderedAgain() throws Exception {
     ObjectJoin join = joinOf(List.of(rollout(1, 9, 3, State.ROLLED_BACK)));
     join.merge(rollout(2, 4, 3, State.RUNNING));
     assertEquals(stateIn(join), Optional.of(State.ROLLED_BACK));
@@ -271,7 +271,7 @@
   }
 
   @Property(tries = 1, seed = SEED)
-  void testRepeatedOrderDoesNotInheritProgress() throws Exception {
+  void testRolloutOrderedAgainDoesNotInheritProgress() throws Exception {
     ObjectJoin join = joinOf(List.of(rollout(1, 9, 3, State.ROLLED_BACK)));
     join.merge(rollout(2, 4, 3, State.RUNNING));
     join.merge(StoredObject.of(ROLLOUT, new StoreRevision(2, 8), Kinds.tombstone()));
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/RetryBudgetFleetTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/RetryBudgetFleetTest.java
@@ -17,12 +17,13 @@
  * Tests that all instances together stay within the retry budget when all upstreams of a service
  * fail at once and each request is retried for as long as the budget of its instance allows.
  *
- * <p>Guards against dividing the shared reserve by a fixed number of instances (14).
+ * <p>Guards against dividing the shared reserve by a fixed number of instances (14) whatever their
+ * actual number.
  */
 public class RetryBudgetFleetTest {
-  private static final double SHARE = 0.9;
+  private static final double RETRY_SHARE = 0.9;
   private static final String SERVICE = "pool";
-  private static final int ATTEMPTS = 4;
+  private static final int MAXIMUM_ATTEMPTS = 4;
 
   @DataProvider
   Object[][] fleets() {
@@ -32,7 +33,7 @@
   private static RetryBudgets budgets(int reserve, AtomicInteger knownInstances) {
     GatewaySettings.Bounds bounds =
         new GatewaySettings.Bounds(
-            Duration.ofSeconds(8), SHARE, reserve, 0.15, Duration.ofSeconds(5), 1.5, 5);
+            Duration.ofSeconds(8), RETRY_SHARE, reserve, 0.15, Duration.ofSeconds(5), 1.5, 5);
     return RetryBudgets.within(bounds, knownInstances::get);
   }
 
@@ -41,21 +42,21 @@
     for (int request = 0; request < requests; request++) {
       RetryBudgets budgets = fleet.get(request % fleet.size());
       budgets.of(SERVICE).recordFirstAttempt();
-      for (int attempt = 1; attempt < ATTEMPTS; attempt++) {
+      for (int attempt = 1; attempt < MAXIMUM_ATTEMPTS; attempt++) {
         granted += budgets.of(SERVICE).takeRetry() ? 1 : 0;
       }
     }
     return granted;
   }
 
-  private static void sendFirstTries(List<RetryBudgets> fleet) {
+  private static void recordFirstAttempts(List<RetryBudgets> fleet) {
     for (int round = 0; round < 200; round++) {
       fleet.forEach(budgets -> budgets.of(SERVICE).recordFirstAttempt());
     }
   }
 
   private static void assertWithinBudget(int granted, int requests, int reserve) {
-    int allowed = (int) (SHARE * requests) + reserve;
+    int allowed = (int) (RETRY_SHARE * requests) + reserve;
     assertTrue(granted <= allowed, granted + " granted, " + allowed + " are allowed");
     assertTrue(granted >= requests / 2, "only " + granted + " granted");
   }
@@ -68,7 +69,7 @@
     for (int number = 0; number < instances; number++) {
       fleet.add(budgets(reserve, knownInstances));
     }
-    sendFirstTries(fleet);
+    recordFirstAttempts(fleet);
     assertWithinBudget(granted(fleet, requests), requests, reserve);
   }
 
@@ -90,7 +91,7 @@
     for (int number = 0; number < 95; number++) {
       fleet.add(budgets(230, knownInstances));
     }
-    sendFirstTries(fleet);
+    recordFirstAttempts(fleet);
     knownInstances.set(95);
     assertWithinBudget(granted(fleet, 2000), 2000, 230);
   }
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/RolloutDecisionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/RolloutDecisionTest.java
@@ -21,7 +21,7 @@
 import org.oatlug.platform.StoreRevision;
 import org.testng.annotations.Test;
 
-/** Tests the traffic share of a version under roll-out and when it is refuted. */
+/** Tests the traffic share of a candidate version, and when the version is refuted. */
 public class RolloutDecisionTest {
   private static final StoreRevision ORDER = StoreRevision.ofNumber(1);
   private Instant now = Instant.parse("2026-12-02T12:00:00Z");
@@ -41,7 +41,8 @@
       previousShare = share;
       shareSum += share < 1 ? share : 0;
     }
-    assertTrue(shareSum / 1000 < 0.13, "the mean share before it reaches 1 is " + shareSum / 1000);
+    assertTrue(
+        shareSum / 1000 < 0.13, "shares below 1, averaged over the roll-out: " + shareSum / 1000);
     assertFalse(schedule.sessionsMayMove(0.49));
     assertEquals(schedule.shareAt(0.9), 1.0);
   }
@@ -111,13 +112,13 @@
     assertFalse(
         RolloutGuard.sufficesForGlobalHalt(good.totalEvidence()),
         "evidence " + good.totalEvidence());
-    int seen = 0;
-    while (!slowUnderLoad.isRefuted() && seen < 60) {
-      seen++;
+    int answers = 0;
+    while (!slowUnderLoad.isRefuted() && answers < 60) {
+      answers++;
       slowUnderLoad.add(answerAfter("v1", 150), now);
-      slowUnderLoad.add(answerAfter("v2", seen % 2 == 0 ? 1200 : 150), now);
+      slowUnderLoad.add(answerAfter("v2", answers % 2 == 0 ? 1200 : 150), now);
     }
-    assertTrue(seen < 40, "refuted only after " + seen);
+    assertTrue(answers < 40, "answers before the refutation: " + answers);
   }
 
   private static VersionRule.Answer answerAfter(String version, long millis) {
@@ -147,7 +148,7 @@
       slow.add(eventInterval("v2", 110 + random.nextInt(40)), now);
       good.add(eventInterval("v2", 40 + random.nextInt(50)), now);
     }
-    assertTrue(streams < 25, "refuted only after " + streams);
+    assertTrue(streams < 25, "streams before the refutation: " + streams);
     assertFalse(good.isRefuted());
   }
 
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/SessionVersionCacheTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/SessionVersionCacheTest.java
@@ -76,9 +76,12 @@
     assertEquals(cache.of(SERVICE).lastVersion(1, now), Optional.of("v2"));
   }
 
-  /** A new collector receives all sessions, including those replicated from other instances. */
+  /**
+   * A new collector receives the sessions that a roll-out would move, including those replicated
+   * from other instances.
+   */
   @Test
-  public void testNewCollectorReceivesAllUnexpiredSessions() {
+  public void testNewCollectorReceivesAllUnexpiredSessionsThatWouldMove() {
     SessionVersionCache cache = sessions();
     cache.recordLocal(SERVICE, 1, "v1", start);
     cache.recordRemote(seenNow(2, "v2"), start);
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/StreamRelayTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/StreamRelayTest.java
@@ -46,19 +46,21 @@
   }
 
   @Property(seed = SEED)
-  void testAnyCutsAndPartsGiveEachEventOnce(
-      @ForAll @Size(max = 5) List<@IntRange(min = 0, max = 600) Integer> cuts,
+  void testEachEventIsRelayedOnceWhereverUpstreamsBreakOff(
+      @ForAll @Size(max = 5) List<@IntRange(min = 0, max = 600) Integer> breakOffPositions,
       @ForAll boolean carriageReturns,
       @ForAll boolean upstreamsRestart,
       @ForAll @IntRange(min = 0, max = 100_000) int randomSeed) {
     Random random = new Random(randomSeed);
     StreamRelay relay = StreamRelay.after(OptionalLong.empty());
     Buffer output = Buffer.buffer();
-    for (int cut : cuts) {
+    for (int breakOffPosition : breakOffPositions) {
       String upstreamEvents = eventsOfNextUpstream(relay, carriageReturns, upstreamsRestart);
       output.appendBuffer(
           relayInParts(
-              relay, upstreamEvents.substring(0, Math.min(cut, upstreamEvents.length())), random));
+              relay,
+              upstreamEvents.substring(0, Math.min(breakOffPosition, upstreamEvents.length())),
+              random));
       relay.resetForNextUpstream();
     }
     output.appendBuffer(
@@ -69,7 +71,10 @@
     assertEquals(relay.eventCount(), EVENTS);
   }
 
-  /** Returns what the next upstream sends: the remaining events, or all if it ignores the ID. */
+  /**
+   * Returns what the next upstream sends: the remaining events, or all if it ignores the ID of the
+   * last event.
+   */
   private static String eventsOfNextUpstream(
       StreamRelay relay, boolean carriageReturns, boolean restarts) {
     long first = restarts ? 0 : relay.lastEventId().orElse(-1) + 1;
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/SuspendedRequestTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/SuspendedRequestTest.java
@@ -22,15 +22,17 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests requests that are open while the host is suspended. Timers do not count the suspension: a
- * request whose deadline passed meanwhile could be answered late by its whole length, and a request
- * whose upstream was chosen before could be sent with more time than its caller still waits.
+ * Tests requests that are open while the host is suspended.
+ *
+ * <p>Guards against timers that do not count the suspension: a request whose deadline passes
+ * meanwhile is answered late by the whole suspension, and a request whose upstream was selected
+ * before the suspension is forwarded with more time than its caller still waits.
  */
 public class SuspendedRequestTest {
   private static final Duration DEADLINE = Duration.ofSeconds(60);
   private static final Duration SUSPENDED = Duration.ofSeconds(40);
 
-  /** Less than the time left on a timer that does not count the suspension. */
+  /** Far less than the time left on a timer that does not count the suspension. */
   private static final long WAIT_SECONDS = 30;
 
   private GatewayServerFixture server;
@@ -38,14 +40,14 @@
   private int port;
 
   @BeforeMethod
-  void begin() throws Exception {
+  void setUp() throws Exception {
     server = new GatewayServerFixture();
     upstream = server.addUpstream("near", "hall-a");
     port = server.listen();
   }
 
   @AfterMethod
-  void end() {
+  void tearDown() {
     server.close();
   }
 
