--- a/org.oatlug.test/tst/org/oatlug/internal/crash/CrashLedgerTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/crash/CrashLedgerTest.java
@@ -66,8 +66,9 @@
     assertEquals(ledger.crashedProcesses(CRASHING), List.of("i-0", "i-1", "i-2"));
   }
 
+  /** Upstreams that crash together for another reason do not get a request refused. */
   @Test
-  public void testSimultaneousCrashesCountOnce() {
+  public void testSimultaneousCrashesAreNotConsecutive() {
     Instant began = time.instant();
     time.run(RUN);
     for (int number = 0; number < 6; number++) {
--- a/org.oatlug.test/tst/org/oatlug/internal/limit/DispatchQueueTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/limit/DispatchQueueTest.java
@@ -15,8 +15,12 @@
 import org.testng.annotations.Test;
 
 /**
- * Replays the load of an instance after a complete outage in virtual time: requests queued in its
- * socket, then more than it can process, each in several steps of one event loop.
+ * Replays in virtual time the load of an instance that is overloaded after a fleet-wide restart:
+ * requests queued in its socket, then more than it can process, each in several steps of one event
+ * loop.
+ *
+ * <p>Guards against starting every request at once: the steps of each then wait for those of all
+ * others, and hardly any of the later requests is answered in time.
  */
 public class DispatchQueueTest {
   private static final Duration STEP = Duration.ofMillis(25);
@@ -104,7 +108,7 @@
     return outcome;
   }
 
-  /** Without the queue all requests start at once, and hardly any of the later ones is in time. */
+  /** Without the queue all requests start at once. */
   @Test
   public void testFewRequestsAreInTimeWithoutQueue() {
     Outcome unqueued = replay(this::attempt);
--- a/org.oatlug.test/tst/org/oatlug/internal/limit/RetryAfterTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/limit/RetryAfterTest.java
@@ -12,7 +12,7 @@
 /** Tests parsing of the header {@code Retry-After} of a refusal. */
 public class RetryAfterTest {
   @DataProvider
-  Object[][] rests() {
+  Object[][] delays() {
     return new Object[][] {
       {"0", Duration.ZERO},
       {"1", Duration.ofSeconds(1)},
@@ -27,7 +27,7 @@
     };
   }
 
-  @Test(dataProvider = "rests")
+  @Test(dataProvider = "delays")
   public void testDelayIsBounded(String text, Duration expected) {
     assertEquals(RetryAfter.of(text), expected);
   }
--- a/org.oatlug.test/tst/org/oatlug/internal/limit/SharedRateLimitTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/limit/SharedRateLimitTest.java
@@ -27,8 +27,8 @@
  */
 class SharedRateLimitTest {
   private static final String SEED = "20261203";
-  private static final double BOUND = 20;
-  private static final double[] ADVERTISED = {0.5, 1.1, 20};
+  private static final double COLD_BOUND_PER_SECOND = 20;
+  private static final double[] ADVERTISED_PER_SECOND = {0.5, 1.1, 20};
 
   /** Pairs of a number of zones and a number of instances in each. */
   private static final int[][] SIZES = {{3, 2}, {7, 1}, {3, 20}, {5, 19}};
@@ -47,7 +47,8 @@
     Random random = new Random(fleetSeed);
     int zones = 1 + random.nextInt(4);
     int perZone = 1 + random.nextInt(12);
-    RateFleet fleet = RateFleet.ofCold(RateFleet.RANKED_COLD, BOUND, zones, perZone, fleetSeed);
+    RateFleet fleet =
+        RateFleet.ofCold(RateFleet.RANKED_COLD, COLD_BOUND_PER_SECOND, zones, perZone, fleetSeed);
     fleet.run(SETTLING_TIME);
     for (int round = 0; round < 3; round++) {
       fleet.limit(UPSTREAMS);
@@ -55,7 +56,7 @@
         disturb(fleet, random, zones * perZone);
         fleet.run(COLD_PERIOD.dividedBy(1 + random.nextInt(4)));
       }
-      assertTrue(fleet.worst() <= BOUND, "in a second " + fleet.worst());
+      assertTrue(fleet.worst() <= COLD_BOUND_PER_SECOND, "in a second " + fleet.worst());
     }
   }
 
@@ -69,12 +70,15 @@
     }
   }
 
-  /** Guards against limits per instance, which the fleet exceeds by the number of instances. */
+  /**
+   * Guards against limits per instance, which the fleet exceeds as many times over as it has
+   * instances.
+   */
   @Property(tries = 30, seed = SEED)
   void testFleetKeepsToAdvertisedLimitInAnySpan(@ForAll long fleetSeed) {
     Random random = new Random(fleetSeed);
     int[] size = SIZES[random.nextInt(SIZES.length)];
-    double rate = ADVERTISED[random.nextInt(ADVERTISED.length)];
+    double rate = ADVERTISED_PER_SECOND[random.nextInt(ADVERTISED_PER_SECOND.length)];
     RateFleet fleet =
         RateFleet.ofLimited(RateFleet.RANKED_LIMITED, rate, size[0], size[1], fleetSeed);
     fleet.run(SETTLING_TIME);
@@ -108,7 +112,7 @@
   @Property(tries = 1, seed = SEED)
   void testStableFleetUsesAdvertisedLimit() {
     for (int[] size : SIZES) {
-      for (double rate : ADVERTISED) {
+      for (double rate : ADVERTISED_PER_SECOND) {
         RateFleet fleet = RateFleet.ofLimited(RateFleet.RANKED_LIMITED, rate, size[0], size[1], 1);
         fleet.run(SETTLING_TIME);
         fleet.stepBy(Duration.ofMillis(4));
@@ -171,7 +175,7 @@
   }
 
   @Property(tries = 1, seed = SEED)
-  void testColdUpstreamThatAcceptsLessThanOneReceivesNothing() {
+  void testColdUpstreamThatAcceptsLessThanOnePerSecondReceivesNothing() {
     SharedRateLimit limit = SharedRateLimit.create(SenderSelection.ALONE);
     assertFalse(limit.allows(cold(0.9), START));
     assertEquals(cold(0.9).senders(), 0);
@@ -189,10 +193,10 @@
     assertTrue(limit.allows(cold(1), START.plusMillis(1001)));
   }
 
-  /** A stable fleet uses half of the bound of cold upstreams at once. */
+  /** A stable fleet is not kept from cold upstreams: it uses half of their bound immediately. */
   @Property(tries = 1, seed = SEED)
   void testStableFleetUsesHalfOfColdBound() {
-    RateFleet fleet = RateFleet.ofCold(RateFleet.RANKED_COLD, BOUND, 3, 20, 1);
+    RateFleet fleet = RateFleet.ofCold(RateFleet.RANKED_COLD, COLD_BOUND_PER_SECOND, 3, 20, 1);
     fleet.run(SETTLING_TIME);
     fleet.limit(UPSTREAMS);
     fleet.run(COLD_PERIOD);
--- a/org.oatlug.test/tst/org/oatlug/internal/limit/WorkspaceLimitsTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/limit/WorkspaceLimitsTest.java
@@ -17,7 +17,7 @@
   private static final Duration INTERVAL = Duration.ofMillis(50);
   private static final int STEPS = 400;
 
-  /** The factor by which the limits exceed the rate of the workspace. */
+  /** The factor by which the instances together may exceed the rate of the workspace. */
   private static final double HEADROOM = 1.2;
 
   private static int admitted(int instances, double rate) {
@@ -41,6 +41,7 @@
   }
 
   private static void assertRateKept(int instances, double rate) {
+    // The limits allow a burst of one second in addition.
     double seconds = INTERVAL.multipliedBy(STEPS).toSeconds() + 1;
     int admitted = admitted(instances, rate);
     double allowed = HEADROOM * rate * seconds;
@@ -53,7 +54,7 @@
     assertRateKept(7, 20);
   }
 
-  /** Each instance grants a minimum rate, so many of them may exceed the rate of the workspace. */
+  /** Each instance grants a minimum rate, so many of them grant more than that of the workspace. */
   @Test
   public void testManyInstancesKeepToLowRate() {
     assertRateKept(95, 5);
