--- a/org.oatlug.test/tst/org/oatlug/internal/engine/PrefillEstimatesTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/engine/PrefillEstimatesTest.java
@@ -20,12 +20,15 @@
 class PrefillEstimatesTest {
   private static final String SEED = "20261202";
   private static final String UPSTREAM = "i-1";
-  private static final int OUTLIER_INTERVAL = 10;
-  private static final int LARGEST_PROMPT = 20_000;
+  private static final int ANSWERS_PER_OUTLIER = 10;
+  private static final int PROMPT_TOKENS_RANGE = 20_000;
 
   private Instant now = Instant.parse("2026-12-02T12:00:00Z");
 
-  /** An engine whose responses deviate from its line by up to a tenth, with one outlier in ten. */
+  /**
+   * An engine whose response times are linear in the prompt and deviate from that by up to a tenth;
+   * one in ten is an outlier.
+   */
   private final class Engine {
     private final Random random;
     private double millisPerToken;
@@ -38,9 +41,9 @@
 
     void answer(PrefillEstimates estimates, String model) {
       answers++;
-      int tokens = 500 + random.nextInt(LARGEST_PROMPT);
+      int tokens = 500 + random.nextInt(PROMPT_TOKENS_RANGE);
       double noise = 0.9 + 0.2 * random.nextDouble();
-      boolean outlier = answers % OUTLIER_INTERVAL == 0;
+      boolean outlier = answers % ANSWERS_PER_OUTLIER == 0;
       double millis = (30 + millisPerToken * tokens) * noise * (outlier ? 8 : 1);
       FirstTokenForecast forecast =
           new FirstTokenForecast(
@@ -54,6 +57,7 @@
     assertTrue(Math.abs(actual - expected) <= share * expected, actual + " instead of " + expected);
   }
 
+  /** Any prefill time within two orders of magnitude is estimated, 0.005 to 0.5 ms per token. */
   @Property(seed = SEED)
   void testEstimateConvergesInThirtyResponses(
       @ForAll @DoubleRange(min = -2.3, max = -0.3) double exponent, @ForAll Random random) {
@@ -79,7 +83,7 @@
     }
     assertTrue(
         estimates.prefillModelOf("m").millisPerToken() > 0.05,
-        "line " + estimates.prefillModelOf("m"));
+        "prefill model " + estimates.prefillModelOf("m"));
   }
 
   /** An overestimated queue must not make the engine appear infinitely fast. */
@@ -93,7 +97,7 @@
     }
     assertTrue(
         estimates.prefillModelOf("m").millisFor(20_000) > 20,
-        "line " + estimates.prefillModelOf("m"));
+        "prefill model " + estimates.prefillModelOf("m"));
   }
 
   @Example
--- a/org.oatlug.test/tst/org/oatlug/internal/platform/HttpPlatformTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/platform/HttpPlatformTest.java
@@ -75,6 +75,10 @@
         .getCause();
   }
 
+  /**
+   * The first write is sent because the client does not know the new epoch yet, but it does not
+   * count as done; the second is not sent.
+   */
   @Test
   public void testWriteExpectingRevisionOfEarlierEpochFails() {
     StoreRevision known = get(platform.get(KEY)).orElseThrow().revision();
--- a/org.oatlug.test/tst/org/oatlug/internal/platform/PlatformCallsTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/platform/PlatformCallsTest.java
@@ -13,7 +13,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests that invalid content of one object does not hide the other objects of the response.
+ * Tests that what another program wrote into one object, be it malformed or merely unusual, does
+ * not hide the other objects of the response.
  *
  * <p>Guards against a failure in which malformed UTF-8 in one entry made the whole list count as
  * empty; the watch then restarted every half second and no change was received any more.
