--- a/org.oatlug/src/org/oatlug/internal/config/BroadcastTrees.java
+++ b/org.oatlug/src/org/oatlug/internal/config/BroadcastTrees.java
@@ -13,12 +13,12 @@
  *
  * <p>Invariant: the tree of a change depends on the change alone, not on its batch. Instances that
  * receive the change in different batches therefore forward it along the same tree, and none is
- * missed because its parent had the change already. There are only a few trees, so that the
- * forwarding load is distributed and a large batch still takes few messages. Immutable,
+ * missed because its parent had the change already. There are several trees, so that no instance
+ * always forwards, but only a few, so that a large batch still takes few messages. Immutable,
  * thread-safe.
  */
 final class BroadcastTrees {
-  /** Children of each instance: 23 instances are reached in 3 steps, 85 in 4. */
+  /** Children of each instance: from the root, 3 steps reach 23 instances, and up to 85. */
   private static final int FAN_OUT = 4;
 
   /** Number of trees: each of 23 instances forwards in 2 of them on average. */
--- a/org.oatlug/src/org/oatlug/internal/config/Catalogue.java
+++ b/org.oatlug/src/org/oatlug/internal/config/Catalogue.java
@@ -85,7 +85,7 @@
     return join;
   }
 
-  /** Returns whether no valid object has been published yet. */
+  /** Returns whether no valid object is known; deleted objects do not count. */
   public boolean isEmpty() {
     return contents.isEmpty();
   }
--- a/org.oatlug/src/org/oatlug/internal/config/ConfigurationSystem.java
+++ b/org.oatlug/src/org/oatlug/internal/config/ConfigurationSystem.java
@@ -177,7 +177,7 @@
         .recoverWithNull();
   }
 
-  /** Reads one list from the platform, unless a healthy watch exists already. */
+  /** Reads the list of the first watch from the platform, unless that watch is healthy. */
   private Uni<Void> probePlatform() {
     StoreWatch first = watches.get(0);
     if (first.isHealthy()) {
--- a/org.oatlug/src/org/oatlug/internal/config/ObjectBroadcaster.java
+++ b/org.oatlug/src/org/oatlug/internal/config/ObjectBroadcaster.java
@@ -151,7 +151,8 @@
   }
 
   /**
-   * Sends changes to an instance of this zone, or to its subtree if it is unresponsive.
+   * Sends changes to an instance of this zone, and to its children in the tree if it has died,
+   * seems unresponsive or does not acknowledge them in time.
    *
    * @param peer the instance of this name, empty if it died since the trees were built
    */
--- a/org.oatlug/src/org/oatlug/internal/config/ReaderRole.java
+++ b/org.oatlug/src/org/oatlug/internal/config/ReaderRole.java
@@ -83,7 +83,7 @@
   /**
    * Returns the role of an instance, which does not read yet.
    *
-   * @param platformProbe reads one list from the platform; fails if it cannot be reached
+   * @param platformProbe verifies that the platform can be read; fails if it cannot be reached
    */
   static ReaderRole create(
       Membership membership,
--- a/org.oatlug/src/org/oatlug/internal/config/StoreWatch.java
+++ b/org.oatlug/src/org/oatlug/internal/config/StoreWatch.java
@@ -51,7 +51,7 @@
 
   /**
    * Time after an outage within which missing entries may reappear: the two seconds within which
-   * the platform states that they do, less the remainder of the bound for leaving upstreams.
+   * they do according to the platform, less the remainder of the bound for leaving upstreams.
    */
   private static final Duration EXPIRY_GRACE = Duration.ofMillis(1800);
 
