--- a/org.oatlug/src/org/oatlug/internal/rollout/OrderAge.java
+++ b/org.oatlug/src/org/oatlug/internal/rollout/OrderAge.java
@@ -80,7 +80,10 @@
     return known ? Math.max(0, Duration.between(orderedAt, now).toMillis()) : 0;
   }
 
-  /** Returns the time of the order by the clock of this instance. */
+  /**
+   * Returns the time of the order by the clock of this instance; the time at which it first read
+   * the order if the age is unknown.
+   */
   public Instant orderedAt() {
     return orderedAt;
   }
--- a/org.oatlug/src/org/oatlug/internal/routing/PlacementCost.java
+++ b/org.oatlug/src/org/oatlug/internal/routing/PlacementCost.java
@@ -8,9 +8,10 @@
 /**
  * Calculates the cost of sending a request to an upstream, in milliseconds of waiting.
  *
- * <p>For a model engine the cost is the expected time to first token, with the prefill weighted for
- * the delay of queued requests; for a plain service it is derived from the load. Failures, cold
- * starts and traffic between availability zones add to it. Stateless, thread-safe.
+ * <p>For a model engine the cost starts from the expected time to first token, with the prefill
+ * weighted for the delay of queued requests; for a plain service, which has no such forecast, it
+ * starts from zero. Load, failures, cold starts, ejection and traffic between availability zones
+ * add to it. Stateless, thread-safe.
  */
 public final class PlacementCost {
   /**
@@ -63,7 +64,8 @@
    * @param otherZone whether it is in another availability zone
    * @param failureShare its share of failures and refusals, 0 to 1
    * @param cold whether it has recently started and has a reduced capacity
-   * @param ejected whether it is ejected after failures
+   * @param ejected whether it is ejected, or to be avoided like an ejected one: because its zone is
+   *     unreachable, or because it runs a request that is suspected of crashing upstreams
    */
   public record UpstreamState(
       FirstTokenForecast forecast,
--- a/org.oatlug/src/org/oatlug/internal/routing/Router.java
+++ b/org.oatlug/src/org/oatlug/internal/routing/Router.java
@@ -29,8 +29,9 @@
  *
  * <p>Invariants: at the time of the decision the version of a route is allowed by the policy of the
  * workspace and not withdrawn; a session that is bound to a version of the model gets that version
- * or a refusal; a missing referenced object denies the request. The decision modifies no table.
- * Owned by one event loop, not thread-safe.
+ * or a refusal; a missing referenced object denies the request. The decision modifies no table,
+ * except that it creates the empty row of an upstream without one. Owned by one event loop, not
+ * thread-safe.
  */
 public final class Router {
   private static final int PERCENT = 100;
@@ -174,7 +175,10 @@
     return RoutingDecision.refused(refusalReason(passedOver), passedOver);
   }
 
-  /** Returns the most actionable reason: overload first, a denial by policy second. */
+  /**
+   * Returns the reason about which the caller can do the most: it can wait for a slot on overload,
+   * ask for less on a denial by policy, and otherwise only come back later.
+   */
   private static RefusalReason refusalReason(List<PassedOver> passedOver) {
     if (passedOver.stream().anyMatch(passed -> passed.reason() == Reason.UPSTREAM_FULL)) {
       return RefusalReason.OVERLOADED;
--- a/org.oatlug/src/org/oatlug/internal/routing/UpstreamChooser.java
+++ b/org.oatlug/src/org/oatlug/internal/routing/UpstreamChooser.java
@@ -13,7 +13,7 @@
 @FunctionalInterface
 public interface UpstreamChooser {
 
-  /** Returns one of the candidates, which are not empty. */
+  /** Returns one of the candidates, of which there is at least one. */
   Candidate choose(
       List<Candidate> candidates,
       RouteRequest request,
--- a/org.oatlug/src/org/oatlug/internal/routing/ZoneReachability.java
+++ b/org.oatlug/src/org/oatlug/internal/routing/ZoneReachability.java
@@ -14,13 +14,14 @@
  * Tracks the availability zones that seem to be unreachable from this instance.
  *
  * <p>Invariants: a zone counts as unreachable once connections to {@link #MINIMUM_UPSTREAMS} of its
- * upstreams failed to open with no response in between; each further failure extends this by {@link
- * #FAILURE_VALIDITY}, after which the next request tries the zone again; any response ends it.
- * Owned by one event loop, not thread-safe.
+ * upstreams failed to open with no response, and at most twice {@link #FAILURE_VALIDITY} from one
+ * failure to the next; this ends with any response, or {@link #FAILURE_VALIDITY} after the last
+ * failure, when the next request tries the zone again. Owned by one event loop, not thread-safe.
  */
 public final class ZoneReachability {
   /**
-   * A single upstream may have crashed; several fail together only if their zone is unreachable.
+   * A single upstream may have crashed; several fail together only if their zone is unreachable or
+   * has failed.
    */
   private static final int MINIMUM_UPSTREAMS = 2;
 
--- a/org.oatlug/src/org/oatlug/internal/table/UpstreamRow.java
+++ b/org.oatlug/src/org/oatlug/internal/table/UpstreamRow.java
@@ -71,12 +71,12 @@
     return process;
   }
 
-  /** Extends the cold start until this time; an earlier time than the present one is ignored. */
+  /** Extends the cold start until this time; a time before the end already set is ignored. */
   public void coldUntil(Instant end) {
     coldUntil = end.isAfter(coldUntil) ? end : coldUntil;
   }
 
-  /** Extends the back-off until this time; an earlier time than the present one is ignored. */
+  /** Extends the back-off until this time; a time before the end already set is ignored. */
   public void backOffUntil(Instant end) {
     backOffUntil = end.isAfter(backOffUntil) ? end : backOffUntil;
   }
@@ -134,7 +134,7 @@
     }
   }
 
-  /** Records a successful response. */
+  /** Records a response that is no failure of the upstream; its status may be a client error. */
   public void succeeded(Instant now) {
     consecutiveFailures = 0;
     updateFailureShare(0, now);
@@ -147,7 +147,8 @@
   }
 
   /**
-   * Records a refusal for overload; it raises the failure share, but does not eject the upstream.
+   * Records a refusal for overload; it wastes an attempt, and so raises the failure share, but is
+   * no failure that ejects the upstream.
    */
   public void refused(Instant now) {
     updateFailureShare(1, now);
@@ -193,7 +194,7 @@
     return prefixes.containsKey(prefix);
   }
 
-  /** Returns whether the upstream announced that it is draining. */
+  /** Returns whether the upstream was reported or marked as draining. */
   public boolean leaving() {
     return leaving;
   }
