--- a/org.oatlug/src/org/oatlug/internal/gather/StateExchange.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/StateExchange.java
@@ -25,11 +25,11 @@
  * zones.
  *
  * <p>Each message carries the whole report, so the next message replaces one that is lost.
- * Invariants: an instance has at most one outstanding request to its collector and an interval
- * between requests that grows with the zone, so that the request rate of a collector is bounded;
- * nothing is sent while the report is unchanged and the last one has not expired; evidence against
- * a version is sent at the next tick, and its refutation at once. Owned by one event loop, not
- * thread-safe.
+ * Invariants: an instance has at most one outstanding request to its collector, and the interval
+ * between reports of mere changes grows with the zone up to the refresh interval, to bound the
+ * request rate of a collector; nothing is sent while nothing has changed and no refresh is due;
+ * evidence against a version is sent at the next tick, and its refutation at once. Owned by one
+ * event loop, not thread-safe.
  */
 public final class StateExchange implements TickSystem {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -39,7 +39,11 @@
    */
   private static final Duration MINIMUM_INTERVAL = Duration.ofMillis(100);
 
-  /** The interval for each instance of the zone; limits a collector to 100 requests a second. */
+  /**
+   * The interval between reports for each instance of the zone, so that a collector receives at
+   * most 100 a second because of mere changes. New evidence, crashes and refreshes are sent
+   * regardless of it.
+   */
   private static final Duration INTERVAL_PER_INSTANCE = Duration.ofMillis(10);
 
   /** The interval between reports while no prompt is pending and no version is being rolled out. */
@@ -123,7 +127,10 @@
     }
   }
 
-  /** Sends the report of this instance at once, as after it refuted a version. */
+  /**
+   * Sends the report of this instance at once, or at the first tick after the outstanding request
+   * has completed, as after it refuted a version.
+   */
   public void sendReportNow() {
     reportedAt = Instant.EPOCH;
     tick();
@@ -260,7 +267,7 @@
     pushCrashes();
   }
 
-  /** Sends new crashes to the whole zone at once if they concern a suspected request. */
+  /** Sends new crashes to the whole zone at once if any concerns a suspect or refused request. */
   private void pushCrashes() {
     if (ledger.lastSuspectRevision() <= pushedCrashRevision) {
       return;
--- a/org.oatlug/src/org/oatlug/internal/gather/StateReport.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/StateReport.java
@@ -19,6 +19,7 @@
  * the aggregate of several. Immutable, thread-safe.
  *
  * @param openMillis the estimated prefill time of the pending prompts, in milliseconds by upstream
+ *     process
  * @param evidence the evidence on versions that are being rolled out, one entry per service
  * @param speeds the prefill time models of engines by model; a measurement of any instance is valid
  *     for all
--- a/org.oatlug/src/org/oatlug/internal/gather/ZoneCollectors.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/ZoneCollectors.java
@@ -21,8 +21,9 @@
  * alive and responds to this instance.
  *
  * <p>Invariant: an instance that did not respond is skipped for {@link #EXCLUSION}, long before it
- * is declared dead; reporting to another collector loses nothing, because each message carries the
- * whole report. Owned by one event loop, not thread-safe.
+ * is declared dead; if all of a zone are skipped, the first is selected all the same; reporting to
+ * another collector loses nothing, because each message carries the whole report. Owned by one
+ * event loop, not thread-safe.
  */
 final class ZoneCollectors {
   /** The time for which an unresponsive collector is skipped: as long as a suspicion lasts. */
--- a/org.oatlug/src/org/oatlug/internal/gather/ZoneReplication.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/ZoneReplication.java
@@ -16,8 +16,9 @@
  *
  * <p>Load pattern: the report of a zone changes with each request, and traffic between zones is
  * billed. Invariants: a zone receives at most one message per interval, except for evidence against
- * a version, which is sent at once; unexpired content is not sent to a zone twice. Owned by one
- * event loop, not thread-safe.
+ * a version and crashes, which are sent at once; nothing is sent without a change, except that a
+ * report with pending prompts is repeated before these expire; a session is sent to a collector
+ * once, unless its message was lost. Owned by one event loop, not thread-safe.
  */
 final class ZoneReplication {
   /** The minimum interval between messages to a zone, because traffic between zones is billed. */
--- a/org.oatlug/src/org/oatlug/internal/peer/PeerMessage.java
+++ b/org.oatlug/src/org/oatlug/internal/peer/PeerMessage.java
@@ -109,8 +109,8 @@
   record GuardEvidence(String candidate, double logEvidence) implements PeerMessage {}
 
   /**
-   * The message of an instance to the collector of its zone: its report, the sessions that it
-   * observed since the last message, the sequence number up to which it read the collector's
+   * The message of an instance to the collector of its zone: its report, the sessions that the
+   * collector has not acknowledged, the sequence number up to which it read the collector's
    * sessions, the crashes that the collector has not acknowledged, and the revision up to which it
    * read the collector's crashes.
    */
@@ -131,7 +131,8 @@
   /**
    * The response of a collector: the aggregated report of all others, the sessions after the
    * requested sequence number, whether it has all unexpired sessions, which it lacks shortly after
-   * its start, and the crashes after the requested revision.
+   * its start, and the crashes after the requested revision. Also pushed to the zone, without
+   * sessions and crashes, when a version is refuted.
    */
   record FleetAccount(
       StateReport others,
