--- a/org.oatlug/src/org/oatlug/internal/membership/Membership.java
+++ b/org.oatlug/src/org/oatlug/internal/membership/Membership.java
@@ -28,11 +28,12 @@
  * Detects which entry instances are live.
  *
  * <p>Instances of one availability zone probe each other, first directly and then through helpers,
- * and suspect an instance before they declare it dead. Instances of other zones are never declared
- * dead, because a network partition looks the same; they only count as unreachable for a while.
- * Records are merged by epoch, incarnation and state, so outdated records have no effect. An
- * instance that receives a suspicion of itself refutes it. Owned by one event loop, not
- * thread-safe.
+ * and suspect an instance before they declare it dead; one that is leaving is declared dead without
+ * suspicion. An instance never suspects one of another zone by its own probes, because a network
+ * partition looks the same; that one only counts as unreachable for a while. A received suspicion
+ * times out regardless of the zone. Records are merged by epoch, incarnation and state, so outdated
+ * records have no effect. An instance that receives a suspicion of itself refutes it. Owned by one
+ * event loop, not thread-safe.
  */
 public final class Membership {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -227,10 +228,12 @@
   }
 
   /**
-   * Returns whether the process is gone, or is in another zone and has been unresponsive for long.
+   * Returns whether the process is gone or has been unresponsive for long, as a process of another
+   * zone may be without being suspected.
    *
-   * <p>A call makes this instance probe the process for a while. A process behind a network
-   * partition counts as lost, too, so the handling of a lost process must be safe if it still runs.
+   * <p>A call makes this instance probe a process of another zone for a while. A process behind a
+   * network partition counts as lost, too, so the handling of a lost process must be safe if it
+   * still runs.
    */
   public boolean isUnresponsiveOrGone(String process) {
     if (isGone(process)) {
@@ -268,7 +271,10 @@
     return substitutes;
   }
 
-  /** Returns the parent in the distribution tree rooted at the readers, empty for a reader. */
+  /**
+   * Returns the parent in the distribution tree rooted at the readers, empty for a reader or if
+   * this instance is leaving.
+   */
   public Optional<Member> parent() {
     List<String> ranked = view().readerRank();
     int rank = ranked.indexOf(self.name());
