--- a/org.oatlug/src/org/oatlug/internal/limit/AdmissionQueue.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/AdmissionQueue.java
@@ -64,7 +64,10 @@
 
   private record Entry(QueuedRequest request, long number, Instant latestStart) {}
 
-  /** Queues a request and returns empty, or returns the predicted wait if that is too long. */
+  /**
+   * Queues a request and returns empty. If the predicted wait is too long, returns that wait, after
+   * which a retry is worthwhile.
+   */
   public Optional<Duration> enqueue(QueuedRequest request, Instant now) {
     Duration wait = predictedWait(request);
     long remainingMillis = Duration.between(now, request.deadline()).toMillis();
--- a/org.oatlug/src/org/oatlug/internal/limit/AdvertisedLimits.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/AdvertisedLimits.java
@@ -106,7 +106,7 @@
   /**
    * Applies a response that advertises a limit.
    *
-   * @param upstream the upstream process that responded
+   * @param upstream the upstream process that responded: its name, with its start time if known
    * @param requestsPerSecond the requests a second that it accepts from all instances together
    */
   public void advertised(String upstream, double requestsPerSecond) {
--- a/org.oatlug/src/org/oatlug/internal/limit/RankedSenders.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/RankedSenders.java
@@ -77,7 +77,10 @@
   private final Map<String, Integer> liveRanks = BoundedMap.withMaximumSize(MAXIMUM_RANKS);
   private final Map<String, Zone> zones = new HashMap<>();
 
-  /** The instances of all zones, for upstreams of a zone without instances. */
+  /**
+   * The instances of all zones: candidates for upstreams of a zone without instances, and the
+   * majority that decides between two equal halves of a zone.
+   */
   private Zone allZones = Zone.EMPTY;
 
   private Set<String> liveNames = Set.of();
--- a/org.oatlug/src/org/oatlug/internal/limit/SenderSelection.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/SenderSelection.java
@@ -17,7 +17,7 @@
    * Returns the number of instances, including this one, that share the rate of the upstream; zero
    * if this instance is not one of them.
    *
-   * @param upstream the upstream process
+   * @param upstream the upstream process: the name of the upstream, with its start time if known
    * @param zone the availability zone of the upstream
    * @param maximum the maximum number of senders
    * @param rotation the number of times that other instances took over from idle senders
--- a/org.oatlug/src/org/oatlug/internal/limit/SharedRateLimit.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/SharedRateLimit.java
@@ -34,8 +34,8 @@
   static final int MAXIMUM_COLD_PER_SECOND = 2;
 
   /**
-   * The minimum rate, in requests a second, at which a limited upstream is probed: only a response
-   * shows that its limit has ended.
+   * The minimum rate, in requests a second, at which a limited upstream is probed even if it
+   * accepts less: only a response shows that its limit has ended.
    */
   public static final double PROBES_PER_SECOND = 0.5;
 
@@ -78,7 +78,7 @@
   /**
    * An upstream whose rate is limited. Immutable.
    *
-   * @param upstream the upstream process
+   * @param upstream the upstream process: the name of the upstream, with its start time if known
    * @param zone the availability zone of the upstream
    * @param senders the maximum number of senders
    * @param rotation the number of times that other instances took over from idle senders
