--- a/org.oatlug/src/org/oatlug/internal/crash/CrashLedger.java
+++ b/org.oatlug/src/org/oatlug/internal/crash/CrashLedger.java
@@ -24,8 +24,8 @@
  * request that completes anywhere is cleared of all earlier crashes. Invariants: merging is
  * commutative, associative and idempotent except for the rounding of ages; at most {@link
  * #MAXIMUM_REQUESTS} requests are kept, and those with the fewest crashes are evicted first, then
- * the oldest, so that a flood of requests with one crash each evicts none with several. Owned by
- * one event loop, not thread-safe.
+ * those that have not changed for longest, so that a flood of requests with one crash each evicts
+ * none with several. Owned by one event loop, not thread-safe.
  */
 public final class CrashLedger {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -70,7 +70,7 @@
     CLEAR,
     /** It runs alone on an upstream, with a single attempt for each try of its caller. */
     SUSPECT,
-    /** It is refused. */
+    /** It is not run on any upstream. */
     REFUSED
   }
 
--- a/org.oatlug/src/org/oatlug/internal/crash/CrashedRuns.java
+++ b/org.oatlug/src/org/oatlug/internal/crash/CrashedRuns.java
@@ -15,8 +15,9 @@
 /**
  * Holds the runs of one request during which upstreams crashed, and when it was last cleared.
  *
- * <p>Invariants: an upstream process counts once, no matter how often it is reported; a crash
- * before the request was cleared does not count. Owned by one event loop, not thread-safe.
+ * <p>Invariants: an upstream process counts once, no matter how often and by how many instances it
+ * is reported; a crash before the request was cleared does not count. Owned by one event loop, not
+ * thread-safe.
  */
 final class CrashedRuns {
   private final String subject;
--- a/org.oatlug/src/org/oatlug/internal/engine/PrefillBacklog.java
+++ b/org.oatlug/src/org/oatlug/internal/engine/PrefillBacklog.java
@@ -31,7 +31,7 @@
     return new PrefillBacklog();
   }
 
-  /** Adds the prefill time of a prompt that is sent to the upstream. */
+  /** Adds the prefill time of a prompt that is sent to the upstream process. */
   public void begin(String upstream, double millis) {
     own.merge(upstream, millis, Double::sum);
   }
@@ -46,13 +46,15 @@
     }
   }
 
-  /** Replaces the prefill time queued by all other instances, in milliseconds by upstream. */
+  /**
+   * Replaces the prefill time queued by all other instances, in milliseconds by upstream process.
+   */
   public void applyReported(Map<String, Integer> millis, Instant now) {
     others = millis;
     othersValidUntil = now.plus(VALIDITY);
   }
 
-  /** Returns the prefill time of the prompts queued at the upstream, in milliseconds. */
+  /** Returns the prefill time of the prompts queued at the upstream process, in milliseconds. */
   public double waitingMillis(String upstream, Instant now) {
     double sum = own.getOrDefault(upstream, 0.0);
     if (!now.isAfter(othersValidUntil)) {
@@ -61,7 +63,9 @@
     return sum;
   }
 
-  /** Returns the prefill time queued by this instance, in whole milliseconds by upstream. */
+  /**
+   * Returns the prefill time queued by this instance, in whole milliseconds by upstream process.
+   */
   public Map<String, Integer> own() {
     Map<String, Integer> rounded = new TreeMap<>();
     own.forEach((upstream, millis) -> rounded.put(upstream, (int) Math.round(millis)));
--- a/org.oatlug/src/org/oatlug/internal/engine/PrefillEstimates.java
+++ b/org.oatlug/src/org/oatlug/internal/engine/PrefillEstimates.java
@@ -102,7 +102,9 @@
         .max(Comparator.comparingDouble(PrefillTimeModel::millisPerToken));
   }
 
-  /** Returns the factor by which the upstream is slower than the estimates of its models. */
+  /**
+   * Returns the factor by which the upstream process is slower than the estimates of its models.
+   */
   public double slownessOf(String upstream, Instant now) {
     Slowness slowness = upstreams.get(upstream);
     return slowness == null ? 1 : Math.exp(slowness.at(now));
@@ -111,7 +113,7 @@
   /**
    * Records the time to first token of a response.
    *
-   * @param upstream the upstream that responded
+   * @param upstream the upstream process that responded
    * @param model the model that responded
    * @param forecast the forecast at the time when the request was sent
    * @param elapsed the time to first token
