--- a/org.oatlug.test/tst/org/oatlug/test/KeptVersionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/KeptVersionTest.java
@@ -41,10 +41,10 @@
  * Checks the version preference for a session whose request failed on a version or found no
  * upstream of it.
  *
- * <p>Guards against a session that changes version because the preference does not bind: a request
- * that fails on the new version then goes to the old one from evidence 1 on, which a good version
- * reaches in up to one of three roll-outs, and a request whose version has no free upstream goes to
- * any version.
+ * <p>Guards against a session that changes version because the preference is not binding. A request
+ * that fails on the new version is then retried on the old one as soon as the logarithm of the
+ * evidence against the new version exceeds 1, which a healthy version reaches in up to one of three
+ * roll-outs; and a request whose version has no free upstream goes to any version.
  */
 public class KeptVersionTest {
   private static final Duration ROLLOUT_DURATION = Duration.ofSeconds(24);
@@ -95,7 +95,7 @@
 
   /** Records enough failures of the new version to make it suspicious but not refuted. */
   private void recordSuspiciousFailures() {
-    for (int answer = 0; answer < 6; answer++) {
+    for (int number = 0; number < 6; number++) {
       director.answered(
           new VersionRule.Answer(SERVICE, OLD, ROUTE, "", false, Duration.ofMillis(50)));
       director.answered(
@@ -106,7 +106,7 @@
   }
 
   @Test
-  public void testSessionThatGoesOnAtTheNewVersionStaysThereAfterOneFailure() {
+  public void testSessionOnNewVersionKeepsItAfterOneFailure() {
     director.sent(SERVICE, NEW, requestOf("s"));
     recordSuspiciousFailures();
     clock.advance(Duration.ofSeconds(1));
@@ -120,7 +120,7 @@
   }
 
   @Test
-  public void testSessionThatBeginsMayGoElsewhereAfterItsFirstFailure() {
+  public void testNewSessionMayChangeVersionAfterItsFirstFailure() {
     clock.advance(ROLLOUT_DURATION.multipliedBy(8).dividedBy(10));
     recordSuspiciousFailures();
     VersionPreference first = preferenceFor("s", PriorAttempts.NOTHING);
@@ -132,7 +132,7 @@
   }
 
   @Test
-  public void testSessionOfTheOldVersionIsKeptInTheFirstHalfAndMayMoveLater() {
+  public void testSessionOnOldVersionKeepsItInFirstHalfAndMayMoveLater() {
     director.sent(SERVICE, OLD, requestOf("s"));
     clock.advance(ROLLOUT_DURATION.multipliedBy(4).dividedBy(10));
     VersionPreference early = preferenceFor("s", PriorAttempts.NOTHING);
--- a/org.oatlug.test/tst/org/oatlug/test/MovedSessionsTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/MovedSessionsTest.java
@@ -18,18 +18,18 @@
  *
  * <p>Guards against sessions that change to the new version in the first half of a roll-out, or
  * back to the old one. The failure comes about when an instance that served a session before the
- * order does not replicate it to its peers: a peer then takes the session for a new one and may
- * assign the new version. Of 1,000 sessions that reach any of six or 92 instances, 69 to 89 then
- * moved in the first half in each case below, nearly all within one session pause after the order,
- * and 355 where two instances had started with a clock error of 4 s.
+ * roll-out started does not replicate it to its peers: a peer then takes the session for a new one
+ * and may assign the new version. Without replication, 69 to 89 of 1,000 sessions that reach any of
+ * six or 92 instances moved in the first half in each case below, nearly all within one session
+ * pause after the start, and 355 where two instances had started with a clock error of 4 s.
  */
 public class MovedSessionsTest {
   private static final Duration ROLLOUT_DURATION = Duration.ofSeconds(24);
   private static final Duration WARM_UP = Duration.ofSeconds(10);
   private static final int SESSIONS = 1000;
 
-  /** Allowed moves where processes crash with sessions that they have not replicated yet. */
-  private static final int MAX_MOVES_AFTER_CRASHES = 3;
+  /** Allowed moves where instances are killed with sessions that they have not replicated yet. */
+  private static final int MAX_MOVES_AFTER_KILLS = 3;
 
   /** Number of seeds that each case runs with; the system property sets more for manual runs. */
   private static final int SEEDS = Integer.getInteger("oatlug.test.seeds", 2);
@@ -56,7 +56,7 @@
     RolloutFleet fleet = RolloutFleet.of(zones, perZone, seed);
     final SessionWorkload workload = SessionWorkload.start(fleet, SESSIONS);
     fleet.time().run(WARM_UP);
-    fleet.order(ROLLOUT_DURATION);
+    fleet.startRollout(ROLLOUT_DURATION);
     fleet.time().run(ROLLOUT_DURATION);
     assertNoMoves(workload);
   }
@@ -66,7 +66,7 @@
     RolloutFleet fleet = RolloutFleet.of(zones, perZone, seed);
     final SessionWorkload workload = SessionWorkload.start(fleet, SESSIONS);
     fleet.time().run(WARM_UP);
-    fleet.order(ROLLOUT_DURATION);
+    fleet.startRollout(ROLLOUT_DURATION);
     Duration interval = ROLLOUT_DURATION.dividedBy(fleet.names().size() + 1L);
     for (String name : fleet.names()) {
       fleet.restart(name);
@@ -86,7 +86,7 @@
       }
     }
     fleet.time().run(WARM_UP);
-    fleet.order(ROLLOUT_DURATION);
+    fleet.startRollout(ROLLOUT_DURATION);
     fleet.time().run(ROLLOUT_DURATION);
     assertNoMoves(workload);
   }
@@ -111,7 +111,7 @@
     }
     final SessionWorkload workload = SessionWorkload.start(fleet, SESSIONS);
     fleet.time().run(WARM_UP);
-    fleet.order(ROLLOUT_DURATION);
+    fleet.startRollout(ROLLOUT_DURATION);
     fleet.time().run(ROLLOUT_DURATION);
     assertNoMoves(workload);
   }
@@ -121,12 +121,12 @@
     RolloutFleet fleet = RolloutFleet.of(3, 3, 1);
     final SessionWorkload workload = SessionWorkload.start(fleet, SESSIONS);
     fleet.time().run(WARM_UP);
-    fleet.order(ROLLOUT_DURATION);
+    fleet.startRollout(ROLLOUT_DURATION);
     fleet.time().run(Duration.ofMillis(300));
     fleet.names().stream().filter(name -> !name.endsWith("2")).skip(1).forEach(fleet::kill);
     fleet.time().run(ROLLOUT_DURATION);
     List<String> moves = workload.moves();
-    assertTrue(moves.size() <= MAX_MOVES_AFTER_CRASHES, moves.size() + " moves: " + moves);
+    assertTrue(moves.size() <= MAX_MOVES_AFTER_KILLS, moves.size() + " moves: " + moves);
   }
 
   @Test(dataProvider = "clockErrors")
@@ -135,7 +135,7 @@
     RolloutFleet fleet = RolloutFleet.of(3, 2, seed);
     final SessionWorkload workload = SessionWorkload.start(fleet, SESSIONS);
     fleet.time().run(WARM_UP);
-    fleet.order(ROLLOUT_DURATION);
+    fleet.startRollout(ROLLOUT_DURATION);
     Duration interval = ROLLOUT_DURATION.dividedBy(fleet.names().size() + 1L);
     for (String name : fleet.names()) {
       fleet.setClockError(name, Duration.ofSeconds(errorSeconds));
@@ -152,7 +152,7 @@
     RolloutFleet fleet = RolloutFleet.of(3, 2, seed);
     final SessionWorkload workload = SessionWorkload.start(fleet, SESSIONS);
     fleet.time().run(WARM_UP);
-    fleet.order(ROLLOUT_DURATION);
+    fleet.startRollout(ROLLOUT_DURATION);
     for (int round = 1; round <= 3; round++) {
       fleet.time().run(ROLLOUT_DURATION.dividedBy(4));
       for (String name : fleet.names()) {
--- a/org.oatlug.test/tst/org/oatlug/test/RolloutFleet.java
+++ b/org.oatlug.test/tst/org/oatlug/test/RolloutFleet.java
@@ -63,13 +63,13 @@
   /** The time from the start of a process until it serves. */
   private static final Duration START_DURATION = Duration.ofMillis(1500);
 
-  /** The time from the beginning of a planned stop until the process has ended. */
+  /** The time from the beginning of a graceful stop until the process has ended. */
   private static final Duration STOP_DURATION = Duration.ofMillis(600);
 
   /** The time after which the other instances consider a killed instance dead. */
   private static final Duration DEATH_DETECTION_DELAY = Duration.ofMillis(2800);
 
-  private static final int MAXIMUM_DELAY_MILLIS = 6;
+  private static final int MAXIMUM_MESSAGE_DELAY_MILLIS = 6;
 
   private final VirtualTime time = new VirtualTime();
   private final Random random;
@@ -118,7 +118,7 @@
     private final Membership membership;
     private final GatewayTables tables;
     private final RolloutDirector director;
-    private final StateExchange gathering;
+    private final StateExchange exchange;
     private final ReadinessGate readinessGate;
 
     private Instance(Member self, Duration clockError) {
@@ -127,10 +127,10 @@
       membership = Membership.create(self, clock, new Random(random.nextLong()));
       tables = GatewayTables.create(clock);
       director = RolloutDirector.create(tables, platform, membership, clock, meters, BOUNDS);
-      gathering =
+      exchange =
           StateExchange.create(
               membership, this::sendRequest, clock, meters, this, CrashLedger.create(clock));
-      director.onRefuted(gathering::sendReportNow);
+      director.onRefuted(exchange::sendReportNow);
       readinessGate =
           ReadinessGate.create(
               clock,
@@ -138,8 +138,8 @@
               () -> true,
               () ->
                   !tables.hasRunningRollout()
-                      || gathering.hasInitialExchange()
-                      || gathering.hasSessionRecords() && director.knowsOrderAges());
+                      || exchange.hasInitialExchange()
+                      || exchange.hasSessionRecords() && director.knowsOrderAges());
     }
 
     String name() {
@@ -159,7 +159,7 @@
     private void tick() {
       if (isUp()) {
         director.tick();
-        gathering.tick();
+        exchange.tick();
         readinessGate.opens();
         time.after(TICK, this::tick);
       }
@@ -171,12 +171,12 @@
               emitter -> {
                 time.after(timeout, () -> emitter.fail(new PeerUnavailableException(peer.name())));
                 time.after(
-                    delay(),
+                    messageDelay(),
                     () -> {
                       Instance target = instances.get(peer.name());
                       if (target.isUp()) {
-                        PeerMessage response = target.gathering.handle(membership.self(), message);
-                        time.after(delay(), () -> emitter.complete(response));
+                        PeerMessage response = target.exchange.handle(membership.self(), message);
+                        time.after(messageDelay(), () -> emitter.complete(response));
                       }
                     });
               });
@@ -238,8 +238,8 @@
     }
   }
 
-  private Duration delay() {
-    return Duration.ofMillis(1 + random.nextInt(MAXIMUM_DELAY_MILLIS));
+  private Duration messageDelay() {
+    return Duration.ofMillis(1 + random.nextInt(MAXIMUM_MESSAGE_DELAY_MILLIS));
   }
 
   /** Polls the store and replicates a changed object to all instances. */
@@ -263,7 +263,7 @@
   }
 
   /** Writes the roll-out of the new version to the store. */
-  void order(Duration rolloutDuration) {
+  void startRollout(Duration rolloutDuration) {
     duration = rolloutDuration;
     rolloutWrittenAt = Optional.of(time.instant());
     ServiceRollout rollout =
@@ -307,8 +307,8 @@
         () -> others(instance).forEach(other -> other.membership.merge(dead)));
   }
 
-  private void replace(Instance before) {
-    Member self = before.membership.self();
+  private void replace(Instance previous) {
+    Member self = previous.membership.self();
     down.remove(self.name());
     Instance started = add(self.name(), self.zone(), self.epoch() + 1);
     for (Instance other : others(started)) {
@@ -330,8 +330,8 @@
   List<Instance> serving() {
     List<Instance> serving = new ArrayList<>();
     for (Instance instance : instances.values()) {
-      boolean stays = instance.membership.self().state() == Member.State.ALIVE;
-      if (instance.isUp() && stays && instance.readinessGate.isOpen()) {
+      boolean isAlive = instance.membership.self().state() == Member.State.ALIVE;
+      if (instance.isUp() && isAlive && instance.readinessGate.isOpen()) {
         serving.add(instance);
       }
     }
--- a/org.oatlug.test/tst/org/oatlug/test/RolloutRaceTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/RolloutRaceTest.java
@@ -41,8 +41,8 @@
 import org.oatlug.platform.StoredObject;
 
 /**
- * Checks that the final state of a roll-out never changes when several instances write it
- * concurrently, observe different responses and lose the replies to their writes.
+ * Checks that the final state of a roll-out never changes, although several instances write it
+ * concurrently, observe different responses and lose the responses to their writes.
  */
 class RolloutRaceTest {
   private static final String SEED = "20261202";
@@ -69,7 +69,7 @@
     }
 
     void recordResponses(String version, boolean failed, int count) {
-      for (int answer = 0; answer < count; answer++) {
+      for (int number = 0; number < count; number++) {
         director.answered(
             new VersionRule.Answer(SERVICE, version, ROUTE, "", failed, Duration.ofMillis(50)));
       }
@@ -85,9 +85,9 @@
     platform = store;
     instances = new ArrayList<>();
     platform.waitForTest(false);
-    ServiceRollout order =
+    ServiceRollout rollout =
         new ServiceRollout(SERVICE, NEW, StoreRevision.ofNumber(1), 6000, Optional.empty());
-    platform.put(KEY, StoreRevision.NONE, Json.STRICT.valueToTree(order)).await().indefinitely();
+    platform.put(KEY, StoreRevision.NONE, Json.STRICT.valueToTree(rollout)).await().indefinitely();
     for (int number = 0; number < INSTANCES; number++) {
       instances.add(new Instance(number, platform, clock));
     }
@@ -133,14 +133,14 @@
     }
   }
 
-  private void deliver(Random random, boolean replyLost) {
+  private void deliver(Random random, boolean responseLost) {
     if (platform.pending() > 0) {
-      platform.deliver(random.nextInt(platform.pending()), replyLost);
+      platform.deliver(random.nextInt(platform.pending()), responseLost);
     }
   }
 
   @Property(seed = SEED, tries = 300)
-  void testEndOfRolloutIsNeverChanged(
+  void testFinalStateOfRolloutNeverChanges(
       @ForAll @Size(max = 120) List<@IntRange(min = 0, max = 9) Integer> actions,
       @ForAll @IntRange(min = 0, max = 100_000) int randomSeed) {
     startRollout(FakePlatform.create());
@@ -155,11 +155,12 @@
       previousState = currentState;
     }
     assertTrue(
-        reachesSameFinalState(), "the instances disagree on the final state of the roll-out");
+        allInstancesFollowFinalState(),
+        "the instances disagree on the final state of the roll-out");
   }
 
   /** Delivers all writes until the roll-out ends, then compares the instances' preferences. */
-  private boolean reachesSameFinalState() {
+  private boolean allInstancesFollowFinalState() {
     for (int round = 0; round < 40 && !isFinal(state()); round++) {
       clock.advance(TICK_INTERVAL);
       instances.forEach(instance -> instance.director.tick());
