--- a/org.oatlug.test/tst/org/oatlug/test/MembershipTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/MembershipTest.java
@@ -33,7 +33,7 @@
 
   private final FakeClock clock = new FakeClock();
   private final Map<String, Membership> running = new TreeMap<>();
-  private final Set<String> stopped = new HashSet<>();
+  private final Set<String> unresponsive = new HashSet<>();
 
   private static Member member(String name, String zone, long epoch) {
     return new Member(name, zone, "rack-" + name, "127.0.0.1", 1, epoch, 0, Member.State.ALIVE);
@@ -47,11 +47,11 @@
     return membership;
   }
 
-  /** Delivers immediately; a stopped instance neither sends nor receives. */
+  /** Delivers immediately; an unresponsive instance neither sends nor receives. */
   private PeerNetwork networkOf(String from) {
     return (peer, message, timeout) -> {
       Membership target = running.get(peer.name());
-      if (target == null || stopped.contains(peer.name()) || stopped.contains(from)) {
+      if (target == null || unresponsive.contains(peer.name()) || unresponsive.contains(from)) {
         return Uni.createFrom().failure(new PeerUnavailableException(peer.name()));
       }
       return target.handle(running.get(from).self(), message);
@@ -71,7 +71,7 @@
       clock.advance(TICK);
       running.forEach(
           (name, membership) -> {
-            if (!stopped.contains(name)) {
+            if (!unresponsive.contains(name)) {
               membership.tick();
             }
           });
@@ -111,13 +111,13 @@
         .orElseThrow();
   }
 
-  /** A stopped instance is suspected and declared dead; its resources get another owner. */
+  /** An unresponsive instance is suspected, then declared dead; its resources get new owners. */
   @Example
-  void testStoppedInstanceIsDeclaredDead() {
+  void testUnresponsiveInstanceIsDeclaredDead() {
     startThree();
     run(20);
     assertEquals(stateAt("a", "c"), Member.State.ALIVE);
-    stopped.add("c");
+    unresponsive.add("c");
     run(80);
     assertEquals(stateAt("a", "c"), Member.State.DEAD);
     assertEquals(stateAt("b", "c"), Member.State.DEAD);
@@ -133,9 +133,9 @@
   @Example
   void testResumedInstanceRefutesItsDeath() {
     startThree();
-    stopped.add("c");
+    unresponsive.add("c");
     run(80);
-    stopped.remove("c");
+    unresponsive.remove("c");
     run(60);
     assertEquals(stateAt("a", "c"), Member.State.ALIVE);
     assertEquals(stateAt("b", "c"), Member.State.ALIVE);
@@ -154,13 +154,16 @@
     assertFalse(running.get("a").isGone("c@2"));
   }
 
-  /** An unresponsive instance of another zone counts as lost but is not declared dead. */
+  /**
+   * An unresponsive instance of another zone is not declared dead. It counts as lost for an
+   * instance that keeps asking about it, which makes that instance probe it.
+   */
   @Example
   void testUnresponsiveRemoteInstanceIsLostAndNotDead() {
     startThree();
     Membership remote = start("far", "hall-b", 1);
     running.get("a").merge(remote.self());
-    stopped.add("far");
+    unresponsive.add("far");
     for (int second = 0; second < 15; second++) {
       running.get("a").isUnresponsiveOrGone("far@1");
       run(10);
@@ -170,7 +173,7 @@
     assertEquals(stateAt("a", "far"), Member.State.ALIVE);
   }
 
-  /** Two instances of a zone are readers, and all instances agree on them. */
+  /** Two instances of a zone read the store, and all instances agree on them. */
   @Example
   void testInstancesAgreeOnTwoReaders() {
     startThree();
