--- a/org.oatlug.test/tst/org/oatlug/test/ObjectJoinTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/ObjectJoinTest.java
@@ -25,7 +25,7 @@
   private static final String SEED = "20261202";
 
   @Property(seed = SEED)
-  void testAnyOrderAndRepetitionEndsAtTheSameObjects(
+  void testMergeResultIsIndependentOfOrderAndDuplicates(
       @ForAll @Size(max = 40) List<@IntRange(min = 0, max = 5) Integer> names,
       @ForAll @IntRange(min = 0, max = 1000) int shuffleSeed) {
     List<StoredObject> history = history(names);
@@ -40,7 +40,7 @@
   }
 
   @Property(seed = SEED)
-  void testLateObjectLowersNoVersion(
+  void testLateObjectLowersNoRevision(
       @ForAll @Size(min = 1, max = 40) List<@IntRange(min = 0, max = 3) Integer> names,
       @ForAll @IntRange(min = 0, max = 1000) int shuffleSeed) {
     List<StoredObject> shuffled = new ArrayList<>(history(names));
--- a/org.oatlug.test/tst/org/oatlug/test/PublisherTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/PublisherTest.java
@@ -30,7 +30,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests the results and errors that operators get for publishes, objects and settings. */
+/** Tests the results and errors that operators get for publishes, invalid objects and settings. */
 public class PublisherTest {
   private static final ObjectKey KEY = ObjectKey.valueOf("version", "small-v1");
 
@@ -93,7 +93,7 @@
 
   /** Returns invalid objects and the text that the error message must contain. */
   @DataProvider
-  public Object[][] badObjectTable() {
+  public Object[][] invalidObjects() {
     return new Object[][] {
       {"policy", "{\"program\":\"model ==\"}", "policy/x.program: x:1:9"},
       {"policy", "{\"program\":\"model + 1\"}", "policy/x.program: x:1:7"},
@@ -107,7 +107,7 @@
   }
 
   /** The offline check reports the object, the field and, for a policy, line and column. */
-  @Test(dataProvider = "badObjectTable")
+  @Test(dataProvider = "invalidObjects")
   public void testCheckNamesInvalidField(String kind, String spec, String expectedText)
       throws IOException {
     Path file = Files.createTempFile("oatlug", ".json");
