--- a/org.oatlug.test/tst/org/oatlug/test/GatewayStateProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/GatewayStateProcessTest.java
@@ -27,7 +27,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Runs separate processes and checks how instances follow the store, and how they start and stop.
+ * Runs separate processes and checks that instances follow the store through outages, compaction
+ * and stale lists, roll versions out and back, and start and stop without losing responses.
  */
 public class GatewayStateProcessTest {
   private GatewayCluster cluster;
@@ -149,19 +150,19 @@
     cluster = GatewayCluster.start(2, 2);
     UpstreamStandin candidate = cluster.addUpstream("n-1", "v2");
     candidate.setBehaviour(Behaviour.FAILS);
-    cluster.store.put("rollouts", SampleObjects.SERVICE, rolloutOrder(30));
+    cluster.store.put("rollouts", SampleObjects.SERVICE, rolloutOfV2(30));
     cluster.streamUntilRolloutIs("rolled_back");
     cluster.store.delete("rollouts", SampleObjects.SERVICE);
     candidate.setBehaviour(Behaviour.SOUND);
-    cluster.store.put("rollouts", SampleObjects.SERVICE, rolloutOrder(10));
+    cluster.store.put("rollouts", SampleObjects.SERVICE, rolloutOfV2(10));
     cluster.streamUntilRolloutIs("succeeded");
   }
 
   @Test
   public void testDrainingUpstreamCompletesOpenStreamsAndGetsNoNewRequests() throws Exception {
     cluster = GatewayCluster.start(1, 2);
-    UpstreamStandin leaving = cluster.upstreams.get("i-1");
-    leaving.setStream(30, 20, 99);
+    UpstreamStandin draining = cluster.upstreams.get("i-1");
+    draining.setStream(30, 20, 99);
     cluster.upstreams.get("i-2").setStream(30, 20, 99);
     List<CompletableFuture<Http.Answer>> open = new ArrayList<>();
     for (int number = 0; number < 6; number++) {
@@ -173,11 +174,11 @@
     for (CompletableFuture<Http.Answer> answer : open) {
       assertEquals(answer.get(20, TimeUnit.SECONDS).status(), 200);
     }
-    int before = leaving.arrivals().size();
+    int before = draining.arrivals().size();
     for (int round = 0; round < 5; round++) {
       assertEquals(status(0), 200);
     }
-    assertEquals(leaving.arrivals().size(), before);
+    assertEquals(draining.arrivals().size(), before);
   }
 
   @Test
@@ -265,7 +266,7 @@
     cluster = GatewayCluster.start(2, 2);
     cluster.addUpstream("n-1", "v2");
     cluster.addUpstream("n-2", "v2");
-    cluster.store.put("rollouts", SampleObjects.SERVICE, rolloutOrder(4));
+    cluster.store.put("rollouts", SampleObjects.SERVICE, rolloutOfV2(4));
     cluster.streamUntilRolloutIs("succeeded");
     int before = cluster.upstreams.get("i-1").arrivals().size();
     for (int round = 0; round < 5; round++) {
@@ -279,7 +280,7 @@
     cluster = GatewayCluster.start(2, 2);
     cluster.addUpstream("n-1", "v2").setBehaviour(Behaviour.FAILS);
     cluster.addUpstream("n-2", "v2").setBehaviour(Behaviour.FAILS);
-    cluster.store.put("rollouts", SampleObjects.SERVICE, rolloutOrder(30));
+    cluster.store.put("rollouts", SampleObjects.SERVICE, rolloutOfV2(30));
     Await.until("the roll-out is running", () -> cluster.rolloutState().equals("running"));
     cluster.store.dropWriteResponses(1);
     cluster.streamUntilRolloutIs("rolled_back");
@@ -290,16 +291,16 @@
     for (int round = 0; round < 20; round++) {
       assertEquals(Http.send(cluster.streamRequest(round % 2, "z" + round)).status(), 200);
     }
-    int arrivalsAfter =
+    int failingArrivalsAfterRollback =
         cluster.upstreams.get("n-1").arrivals().size()
             + cluster.upstreams.get("n-2").arrivals().size();
-    assertEquals(arrivalsAfter, failingArrivals);
+    assertEquals(failingArrivalsAfterRollback, failingArrivals);
   }
 
-  private static JsonObject rolloutOrder(int seconds) {
+  private static JsonObject rolloutOfV2(int durationSeconds) {
     return new JsonObject()
         .put("service", SampleObjects.SERVICE)
         .put("target-version", "v2")
-        .put("duration-s", seconds);
+        .put("duration-s", durationSeconds);
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/test/NamedLimitProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/NamedLimitProcessTest.java
@@ -19,7 +19,7 @@
 import org.testng.annotations.Test;
 
 /**
- * Checks that all instances together keep to the request rate that an upstream announces. Guards
+ * Checks that all instances together keep to the request rate that an upstream advertises. Guards
  * against instances that ignore the limit and send requests at the same rate as before.
  */
 public class NamedLimitProcessTest {
@@ -30,13 +30,13 @@
   private static final Duration WINDOW = Duration.ofSeconds(4);
 
   private GatewayCluster cluster;
-  private UpstreamStandin first;
+  private UpstreamStandin limited;
   private int instances;
 
   private void start(int count) throws IOException {
     instances = count;
     cluster = GatewayCluster.start(count, 2);
-    first = cluster.upstreams.get("i-1");
+    limited = cluster.upstreams.get("i-1");
   }
 
   @AfterMethod(alwaysRun = true)
@@ -48,15 +48,19 @@
     return Http.send(cluster.request(entry, path)).status();
   }
 
+  /** Sends requests to an instance until the limited upstream gets one; returns whether it did. */
   private boolean receivesRequestFrom(int entry) throws IOException {
-    int before = first.arrivals().size();
-    for (int round = 0; round < ROUNDS && first.arrivals().size() == before; round++) {
+    int before = limited.arrivals().size();
+    for (int round = 0; round < ROUNDS && limited.arrivals().size() == before; round++) {
       send(entry, SampleObjects.REPEATABLE + round);
     }
-    return first.arrivals().size() > before;
+    return limited.arrivals().size() > before;
   }
 
-  /** Returns the number of requests allowed in a span, which counts as {@link #WINDOW} at least. */
+  /**
+   * Returns the number of requests allowed in a span: 1.5 times the limit plus 5. A span shorter
+   * than {@link #WINDOW} counts as one window.
+   */
   private static double allowedIn(Duration span) {
     Duration counted = span.compareTo(WINDOW) < 0 ? WINDOW : span;
     return 1.5 * LIMIT_PER_SECOND * counted.toMillis() / 1000 + 5;
@@ -64,7 +68,7 @@
 
   /** Sends requests to all instances in turn and checks how many the limited upstream gets. */
   private void assertLimitKept(String path) throws IOException {
-    int before = first.arrivals().size();
+    int before = limited.arrivals().size();
     long start = System.nanoTime();
     for (int round = 0; round < ROUNDS; round++) {
       for (int entry = 0; entry < instances; entry++) {
@@ -73,12 +77,12 @@
       }
     }
     Duration took = Duration.ofNanos(System.nanoTime() - start);
-    int received = first.arrivals().size() - before;
+    int received = limited.arrivals().size() - before;
     assertTrue(received <= allowedIn(took), received + " requests in " + took + " at " + path);
   }
 
-  private void announceLimit(double limit) throws IOException {
-    first.setLimit(Optional.of(Double.toString(limit)));
+  private void advertiseLimit(double limit) throws IOException {
+    limited.setLimit(Optional.of(Double.toString(limit)));
     for (int entry = 0; entry < instances; entry++) {
       receivesRequestFrom(entry);
     }
@@ -90,15 +94,15 @@
   }
 
   @Test(dataProvider = "instanceCounts")
-  public void testAllInstancesTogetherKeepToLimitOfUpstream(int size) throws IOException {
-    start(size);
-    announceLimit(LIMIT_PER_SECOND);
+  public void testAllInstancesTogetherKeepToLimitOfUpstream(int count) throws IOException {
+    start(count);
+    advertiseLimit(LIMIT_PER_SECOND);
     assertLimitKept(SampleObjects.REPEATABLE);
     assertLimitKept(SampleObjects.ONCE);
   }
 
   @DataProvider
-  Object[][] answers() {
+  Object[][] failures() {
     return new Object[][] {
       {Behaviour.REFUSES},
       {Behaviour.FAILS},
@@ -107,49 +111,49 @@
     };
   }
 
-  @Test(dataProvider = "answers")
+  @Test(dataProvider = "failures")
   public void testLimitIsReadFromEachResponse(Behaviour behaviour) throws IOException {
     start(1);
-    first.setBehaviour(behaviour);
-    announceLimit(LIMIT_PER_SECOND);
-    int before = first.arrivals().size();
+    limited.setBehaviour(behaviour);
+    advertiseLimit(LIMIT_PER_SECOND);
+    int before = limited.arrivals().size();
     for (int round = 0; round < ROUNDS; round++) {
       send(0, SampleObjects.REPEATABLE + round);
     }
-    assertTrue(first.arrivals().size() - before <= allowedIn(WINDOW));
+    assertTrue(limited.arrivals().size() - before <= allowedIn(WINDOW));
   }
 
   @Test
   public void testUpstreamIsProbedUnderZeroLimitAndUsedByAllWithoutIt() throws IOException {
     start(3);
-    announceLimit(0);
-    int before = first.arrivals().size();
+    advertiseLimit(0);
+    int before = limited.arrivals().size();
     Await.until("an instance sends a request", () -> receivesRequestFromAny(before));
-    first.setLimit(Optional.empty());
+    limited.setLimit(Optional.empty());
     Await.until("all instances send requests", this::receivesRequestFromEach);
   }
 
   private boolean receivesRequestFromEach() throws IOException {
-    boolean allAsked = true;
+    boolean allReceived = true;
     for (int entry = 0; entry < instances; entry++) {
-      allAsked &= receivesRequestFrom(entry);
+      allReceived &= receivesRequestFrom(entry);
     }
-    return allAsked;
+    return allReceived;
   }
 
   private boolean receivesRequestFromAny(int before) throws IOException {
     for (int entry = 0; entry < instances; entry++) {
       send(entry, SampleObjects.REPEATABLE + "any");
     }
-    return first.arrivals().size() > before;
+    return limited.arrivals().size() > before;
   }
 
   @Test
   public void testRestartedUpstreamHasNoLimit() throws IOException {
     start(1);
     cluster.store.put("servers", "i-1", cluster.entryOf("i-1").put("born", 5));
-    announceLimit(0);
-    first.setLimit(Optional.empty());
+    advertiseLimit(0);
+    limited.setLimit(Optional.empty());
     cluster.store.put("servers", "i-1", cluster.entryOf("i-1").put("born", 7));
     Await.until("the restarted upstream gets a request", () -> receivesRequestFrom(0));
   }
@@ -184,7 +188,7 @@
     List<String> limits =
         List.of("1000000", "0.000001", "1e400", "NaN", "some", "", "9".repeat(400), "-5");
     for (String limit : limits) {
-      first.setLimit(Optional.of(limit));
+      limited.setLimit(Optional.of(limit));
       Await.until("a request is sent with limit " + limit, () -> receivesRequestFrom(0));
       for (int round = 0; round < ROUNDS / 4; round++) {
         assertEquals(send(0, SampleObjects.REPEATABLE + round), 200);
@@ -198,7 +202,7 @@
   @Test
   public void testStatusShowsLimitAndItsAge() throws IOException {
     start(1);
-    announceLimit(2.5);
+    advertiseLimit(2.5);
     String status = cluster.command(0, "status");
     assertTrue(
         status.matches("(?s).*i-1 .*load \\d+, limit 2\\.5/s seen \\d+\\.\\d s ago.*"), status);
--- a/org.oatlug.test/tst/org/oatlug/test/RestoredStoreProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/RestoredStoreProcessTest.java
@@ -22,7 +22,10 @@
 public class RestoredStoreProcessTest {
   private static final int INSTANCES = 3;
 
-  /** Exceeds the number of writes that any test makes after the restore. */
+  /**
+   * Exceeds the number of writes that any test makes after the restore, so that the revision
+   * numbers of these writes stay below those that the instances have already read.
+   */
   private static final int WRITES_AFTER_COPY = 200;
 
   private static final String FIRST = "/first/";
