--- a/org.oatlug.test/tst/org/oatlug/adapter/ForeignEntryTest.java
+++ b/org.oatlug.test/tst/org/oatlug/adapter/ForeignEntryTest.java
@@ -29,7 +29,7 @@
  *
  * <p>Guards against an unknown state that counts as ready, a missing service or zone that becomes
  * an empty name, and an undecodable entry that leaves its previous value in effect. Such an entry
- * is unusable.
+ * must be marked as unusable, so that it names no upstream to use.
  */
 class ForeignEntryTest {
   private static final String SEED = "20261203";
@@ -39,7 +39,9 @@
   private static final List<String> INVALID_VALUES =
       List.of(
           "null", "true", "{}", "[]", "\"\"", "\" \"", "-1", "1e400", "\"\\u0000\\uD800\"", "0.5");
-  private static final Map<String, List<String>> KINDS =
+
+  /** The fields to spoil in objects of each kind; {@link #FIELDS} if none are listed. */
+  private static final Map<String, List<String>> FIELDS_BY_KIND =
       Map.of(
           GatewayKinds.UPSTREAM, List.of(),
           GatewayKinds.ROUTING, List.of("routes", "services", "tenants", "limits", "version"),
@@ -64,19 +66,19 @@
 
   private static void assertUnusable(JsonNode spec) throws Exception {
     StoredObject decoded = decode(spec);
-    assertTrue(Kinds.problemOfUnusable(decoded.value()).isPresent(), "taken: " + spec);
+    assertTrue(Kinds.problemOfUnusable(decoded.value()).isPresent(), "accepted: " + spec);
     assertTrue(Kinds.isTombstone(decoded.value()));
     assertEquals(decoded.revision(), new StoreRevision(EPOCH, 7));
   }
 
   @Property(tries = 1, seed = SEED)
   void testValidEntryIsAccepted() throws Exception {
-    UpstreamRecord registered =
+    UpstreamRecord upstreamRecord =
         Json.STRICT.treeToValue(decode(validEntry()).value(), UpstreamRecord.class);
     UpstreamRecord expected =
         UpstreamRecord.of("pool", "127.0.0.1", 8080, "hall-a", "v1", 8, false).withSequence(1);
-    assertEquals(registered, expected);
-    assertEquals(registered.coldMillis(), OptionalLong.empty());
+    assertEquals(upstreamRecord, expected);
+    assertEquals(upstreamRecord.coldMillis(), OptionalLong.empty());
   }
 
   @Property(tries = 1, seed = SEED)
@@ -92,8 +94,8 @@
       boolean isNumber = List.of("slots", "cold-ms", "sequence").contains(field);
       assertUnusable(validEntry().put(field, isNumber ? "8" : ""));
       for (String invalid : INVALID_VALUES) {
-        boolean isText = invalid.contains("uD800");
-        if (isNumber || !isText) {
+        boolean isNonBlankText = invalid.contains("uD800");
+        if (isNumber || !isNonBlankText) {
           assertUnusable(validEntry().set(field, Json.STRICT.readTree(invalid)));
         }
       }
@@ -117,10 +119,10 @@
 
   @Property(tries = 1, seed = SEED)
   void testStartTimeIsReadAndInvalidStartTimeIsIgnored() throws Exception {
-    UpstreamRecord registered =
+    UpstreamRecord upstreamRecord =
         Json.STRICT.treeToValue(
             decode(validEntry().put("born", 1764720000123L)).value(), UpstreamRecord.class);
-    assertEquals(registered.startedAtMillis(), OptionalLong.of(1764720000123L));
+    assertEquals(upstreamRecord.startedAtMillis(), OptionalLong.of(1764720000123L));
     for (String invalid : INVALID_VALUES) {
       JsonNode spec = validEntry().set("born", Json.STRICT.readTree(invalid));
       UpstreamRecord withoutStart =
@@ -129,11 +131,14 @@
     }
   }
 
-  /** An object of any kind and content is decoded, marked as unusable or rejected. */
+  /**
+   * An object of any content is decoded, marked as unusable or rejected. An upstream with a valid
+   * name is never rejected, as its previous entry would then stay in effect.
+   */
   @Property(tries = 400, seed = SEED)
   void testArbitraryObjectsDoNotCrashTheDecoder(@ForAll long randomSeed) throws Exception {
     Random random = new Random(randomSeed);
-    for (Map.Entry<String, List<String>> kind : KINDS.entrySet()) {
+    for (Map.Entry<String, List<String>> kind : FIELDS_BY_KIND.entrySet()) {
       ObjectNode spec = validEntry();
       List<String> fields = kind.getValue().isEmpty() ? FIELDS : kind.getValue();
       for (String field : fields) {
@@ -161,9 +166,9 @@
     for (String name : List.of("", "n".repeat(100_000))) {
       try {
         ObjectDecoder.decode(GatewayKinds.UPSTREAM, object(name, validEntry()), EPOCH);
-        throw new AssertionError("taken");
+        throw new AssertionError("an empty or too long name is accepted");
       } catch (ConfigurationInvalidException e) {
-        assertTrue(e.getMessage().length() < 200, "the message is bounded");
+        assertTrue(e.getMessage().length() < 200, "the message is too long");
       }
     }
   }
--- a/org.oatlug.test/tst/org/oatlug/adapter/RestoredStoreClientTest.java
+++ b/org.oatlug.test/tst/org/oatlug/adapter/RestoredStoreClientTest.java
@@ -32,7 +32,13 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests which responses are accepted after the store was restored from a copy. */
+/**
+ * Tests which responses are accepted, and which writes are sent, after the store was restored from
+ * a copy.
+ *
+ * <p>A restored store goes back to earlier revision numbers under a new epoch. Guards against
+ * responses and conditions of writes from an earlier epoch being used in the new one.
+ */
 public class RestoredStoreClientTest {
   private static final String HOST = "127.0.0.1";
   private static final List<String> ROUTING = List.of(GatewayKinds.ROUTING);
@@ -115,10 +121,10 @@
   public void testWatchFromLostRevisionFailsAndUpdatesTheEpoch() {
     StoreStandin.Copy copy = store.copy();
     register("i-1", 1);
-    StoreRevision lost = awaitItem(client.list(UPSTREAM)).revision();
+    StoreRevision lostRevision = awaitItem(client.list(UPSTREAM)).revision();
     store.restore(copy);
     CompletableFuture<Platform.Batch> watch =
-        client.watch(UPSTREAM, lost, Duration.ofSeconds(1)).subscribeAsCompletionStage();
+        client.watch(UPSTREAM, lostRevision, Duration.ofSeconds(1)).subscribeAsCompletionStage();
     expectThrows(CompletionException.class, watch::join);
     assertEquals(client.epoch().newest(), 2);
   }
@@ -146,7 +152,7 @@
   }
 
   @Test
-  public void testWriteWhoseConditionMatchedInAnotherEpochIsDiscarded() throws Exception {
+  public void testResponseToWriteThatMatchedInAnotherEpochIsDiscarded() throws Exception {
     store.put("rollouts", SampleObjects.SERVICE, SampleObjects.rollout("v2", 10));
     StoreStandin.Copy copy = store.copy();
     StoredObject storedRollout = awaitItem(client.get(ROLLOUT)).orElseThrow();
--- a/org.oatlug.test/tst/org/oatlug/entry/PreboundSocketTest.java
+++ b/org.oatlug.test/tst/org/oatlug/entry/PreboundSocketTest.java
@@ -22,7 +22,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Guards against the loss of callers that connect before the HTTP server listens. */
+/**
+ * Tests that callers that connect while an instance starts, before its HTTP server listens, are
+ * served once it has started.
+ */
 public class PreboundSocketTest {
   private static final String HOST = "127.0.0.1";
 
