--- a/org.oatlug.test/tst/org/oatlug/test/RouterTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/RouterTest.java
@@ -39,7 +39,8 @@
 import org.oatlug.platform.StoredObject;
 
 /**
- * Checks that each route is allowed, not withdrawn and keeps to its session, for any deployment.
+ * Checks, with random deployments, that a selected version is allowed by the policy and not
+ * withdrawn, and that it is the version of the session if the session has one.
  */
 class RouterTest {
   private static final String SEED = "20261202";
@@ -212,7 +213,7 @@
     assertFalse(decision.passedOver().isEmpty());
   }
 
-  /** Checks that an upstream that asked callers to back off is not selected before that time. */
+  /** Checks that an upstream is not selected while it asks callers to back off. */
   @Property(seed = SEED)
   void testUpstreamIsNotSelectedWhileItBacksOff(@ForAll Random random) {
     publishRandomDeployment(random);
--- a/org.oatlug.test/tst/org/oatlug/test/SessionWorkload.java
+++ b/org.oatlug.test/tst/org/oatlug/test/SessionWorkload.java
@@ -18,8 +18,8 @@
   private static final int RESPONSE_SPREAD_MILLIS = 900;
   private static final int MAX_GAP_MILLIS = 3500;
 
-  /** Mean number of requests of a session; a new session begins where one ends. */
-  private static final int REQUESTS_PER_SESSION = 12;
+  /** Mean number of requests of a session; when one ends, a new one begins. */
+  private static final int MEAN_REQUESTS_PER_SESSION = 12;
 
   /** Delay before a caller retries when no instance serves. */
   private static final Duration RETRY = Duration.ofMillis(100);
@@ -66,7 +66,7 @@
     int responseMillis = MIN_RESPONSE_MILLIS + random.nextInt(RESPONSE_SPREAD_MILLIS);
     Instant endOfResponse = now.plusMillis(responseMillis);
     Duration wait = Duration.ofMillis(responseMillis + random.nextInt(MAX_GAP_MILLIS));
-    boolean endsSession = random.nextInt(REQUESTS_PER_SESSION) == 0;
+    boolean endsSession = random.nextInt(MEAN_REQUESTS_PER_SESSION) == 0;
     fleet
         .time()
         .after(
@@ -85,7 +85,7 @@
     if (movedEarly || movedBack) {
       moves.add(
           String.format(
-              "%s from %s to %s at part %.3f by %s",
+              "%s from %s to %s at fraction %.3f of the roll-out by %s",
               session, previousVersion, version, fleet.elapsedFraction(), instance.name()));
     }
   }
--- a/org.oatlug.test/tst/org/oatlug/test/SettingsTemplateTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/SettingsTemplateTest.java
@@ -25,10 +25,10 @@
  * Tests that settings rendered from the template are accepted, or refused with the name of the
  * field.
  *
- * <p>The template once appended three zeros to convert seconds to milliseconds. A value of 8.5
- * seconds became {@code 8.5000}, which is no integer, and no instance started. Each number of the
- * template is tested as an integer, with a fraction, as zero, with an exponent, missing, and as a
- * word.
+ * <p>Guards against a template that converts seconds to milliseconds by appending three zeros: a
+ * session pause of 8.5 seconds became {@code 8.5000}, which is no integer, and no instance started.
+ * Each number of the template is tested as an integer, with a fraction, as zero, with an exponent,
+ * missing, and as a word.
  */
 public class SettingsTemplateTest {
   private static final Path TEMPLATE = Path.of("deploy", "settings.json.template");
--- a/org.oatlug.test/tst/org/oatlug/test/ShardTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/ShardTest.java
@@ -37,6 +37,8 @@
   private static final int WRITERS = 3;
   private static final int KEYS = 4;
   private static final int STEPS = 200;
+
+  /** Small, so that heads fill up and their entries move to segments within a few writes. */
   private static final int MAXIMUM_HEAD_BYTES = 1500;
 
   private final FakeClock clock = new FakeClock();
@@ -140,15 +142,15 @@
       maximumSize = Math.max(maximumSize, shard.size());
       clock.advance(Duration.ofHours(1));
     }
-    assertTrue(maximumSize <= 80 * 27, "kept " + maximumSize);
+    assertTrue(maximumSize <= 80 * 27, "entries kept: " + maximumSize);
     long old = clock.instant().minus(Duration.ofHours(2)).toEpochMilli();
     Bill again = new Bill("58-3", "w", "v", 1, 1, 1, true, "process@1", old);
     assertEquals(submit(shard, new LedgerEntry.Billed(again)), LedgerResult.Kind.ALREADY_RECORDED);
   }
 
-  /** A head that references many segments does not create a new segment at each write. */
+  /** A head that references many segments does not make each write create another segment. */
   @Example
-  void testManySegmentsDoNotCauseSegmentAtEachWrite() {
+  void testWritesCreateFewSegmentsAlthoughHeadReferencesMany() {
     FakePlatform platform = FakePlatform.create();
     Shard shard = writer(platform);
     for (int number = 0; number < 300; number++) {
--- a/org.oatlug.test/tst/org/oatlug/test/SilentConnectionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/SilentConnectionTest.java
@@ -40,9 +40,9 @@
     int port = Ports.free();
     int relayPort = Ports.free();
     relayedPeer = member("answering", relayPort);
-    TcpPeerNetwork answering = peers(member("answering", port));
-    callerNetwork = peers(member("calling", Ports.free()));
-    await(answering.listen());
+    TcpPeerNetwork answeringNetwork = networkOf(member("answering", port));
+    callerNetwork = networkOf(member("calling", Ports.free()));
+    await(answeringNetwork.listen());
     await(relay(port).listen(relayPort, "127.0.0.1"));
   }
 
@@ -59,7 +59,7 @@
     return new Member(name, "here", "rack", "127.0.0.1", port, 1, 0, Member.State.ALIVE);
   }
 
-  private TcpPeerNetwork peers(Member self) {
+  private TcpPeerNetwork networkOf(Member self) {
     Settings.Peers settings =
         new Settings.Peers(
             self.host(), self.peerPort(), "key", List.of(), Optional.empty(), Optional.empty());
@@ -96,8 +96,9 @@
   }
 
   /**
-   * Pushes wait for a response before they skip an unresponsive instance. An attempt to connect
-   * once took two seconds, whatever the request timeout was.
+   * Pushes wait for a response before they skip an unresponsive instance, so the request timeout
+   * must include the time to connect. Guards against a connection attempt that takes two seconds
+   * whatever the request timeout is.
    */
   @Test
   public void testTimeoutCoversConnectionSetup() throws Exception {
--- a/org.oatlug.test/tst/org/oatlug/test/SuspendedMachineTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/SuspendedMachineTest.java
@@ -17,12 +17,12 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests that the time of a suspended machine is counted.
+ * Tests that the clock of an instance counts the time for which its host is suspended.
  *
- * <p>The steady clock of the operating system stops during a suspension. State therefore looked
- * younger than it was until the process ended: after a suspension of ten seconds, a contact with
- * the store from eleven seconds ago counted as one second old. The pause detection, which compared
- * that clock with itself, did not notice the suspension.
+ * <p>The monotonic clock of the operating system stops during a suspension. An instance that uses
+ * it alone takes everything it knows for younger than it is, until the process ends: after a
+ * suspension of ten seconds, a contact with the store from eleven seconds ago counts as one second
+ * old. Pause detection that compares that clock with itself does not notice the suspension.
  */
 public class SuspendedMachineTest {
   private static final Duration SUSPENSION = Duration.ofSeconds(10);
@@ -67,7 +67,7 @@
   }
 
   @Test
-  public void testKnowledgeAgesDuringSuspension() {
+  public void testContactWithStoreAgesDuringSuspension() {
     AtomicInteger pauses = new AtomicInteger();
     final PauseDetector detector = PauseDetector.create(clock, pauses::incrementAndGet);
     Freshness freshness = Freshness.withBound(Duration.ofSeconds(5));
@@ -81,7 +81,7 @@
   }
 
   @Test
-  public void testSetTimeOfDayIsNotCounted() {
+  public void testChangeOfTimeOfDayIsNotCounted() {
     assertEquals(elapsedDuring(() -> timeOfDay = timeOfDay.plusSeconds(3600)), SECOND);
     assertEquals(elapsedDuring(() -> timeOfDay = timeOfDay.minusSeconds(7200)), SECOND);
   }
