--- a/org.oatlug.test/tst/org/oatlug/test/StopProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/StopProcessTest.java
@@ -16,8 +16,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests that a graceful stop or a leaving upstream interrupts no request, and that a kill
- * interrupts only the open requests of that instance.
+ * Tests that a planned stop interrupts no request, that a kill interrupts only the open requests of
+ * that instance, and that an upstream that is leaving gets no new requests.
  */
 public class StopProcessTest {
   private static final int INSTANCES = 3;
@@ -35,7 +35,7 @@
     cluster.close();
   }
 
-  /** An instance is stopped gracefully while it serves long streams and new requests arrive. */
+  /** An instance gets SIGTERM while it serves long streams and new requests arrive. */
   @Test
   public void testPlannedStopCutsOffNoRequest() throws IOException {
     List<CompletableFuture<Http.Answer>> answers = new ArrayList<>();
--- a/org.oatlug.test/tst/org/oatlug/test/UnknownOrderProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/UnknownOrderProcessTest.java
@@ -21,12 +21,12 @@
  * upstreams become known first.
  *
  * <p>The upstreams of a new version register as soon as its roll-out is ordered. They and the order
- * arrive through different watches of the store, 15 to 50 ms apart and in either order. An instance
- * that learned of the upstreams first, as happens at a start that reads the orders last, treated
- * both versions alike and sent half of all sessions to the new version instead of 9%.
+ * arrive through different watches of the store, 15 to 50 ms apart, and either may arrive first. An
+ * instance that learned of the upstreams first, as happens at a start that reads the orders last,
+ * treated both versions alike and sent half of all sessions to the new version instead of 9%.
  */
 public class UnknownOrderProcessTest {
-  private static final int SESSIONS = 20;
+  private static final int SESSION_COUNT = 20;
 
   private GatewayCluster cluster;
 
@@ -47,10 +47,10 @@
   /** Returns sessions that a roll-out moves in its second half. */
   private static List<String> sessionsMovedLast() {
     List<String> sessions = new ArrayList<>();
-    for (int number = 0; sessions.size() < SESSIONS; number++) {
+    for (int number = 0; sessions.size() < SESSION_COUNT; number++) {
       String session = "session-" + number;
-      long part = Integer.toUnsignedLong(session.hashCode());
-      long position = Hashes.combine(part, 0) & Long.MAX_VALUE;
+      long sessionHash = Integer.toUnsignedLong(session.hashCode());
+      long position = Hashes.combine(sessionHash, 0) & Long.MAX_VALUE;
       if (position > Long.MAX_VALUE / 2) {
         sessions.add(session);
       }
@@ -67,7 +67,7 @@
   }
 
   @Test
-  public void testUpstreamsOfUnorderedVersionGetNoRequests() throws IOException {
+  public void testUpstreamsOfVersionWithoutRolloutOrderGetNoRequests() throws IOException {
     cluster = GatewayCluster.start(1, 1);
     assertEquals(send("first"), 200);
     cluster.addUpstream("i-2", "v2");
