--- a/org.oatlug.test/tst/org/oatlug/test/UpstreamSaysProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/UpstreamSaysProcessTest.java
@@ -22,8 +22,9 @@
  * instance itself had forwarded while the store was unavailable, and 40 requests within a back-off
  * of three seconds.
  *
- * <p>The failure comes about when neither response header is read beyond the attempt that received
- * it: one instance then logged {@code refused by upstream status=503} 57 times for one upstream.
+ * <p>The failure comes about when what a response announced is known only to the attempt that
+ * received it: one instance then logged {@code refused by upstream status=503} 57 times for one
+ * upstream.
  */
 public class UpstreamSaysProcessTest {
   /**
@@ -92,7 +93,7 @@
     assertEquals(
         arrivalsOf(first, SampleObjects.REPEATABLE),
         0,
-        "the upstream got requests, as its entry still says ready");
+        "a draining upstream got requests; its entry in the store still says ready");
   }
 
   @Test
