--- a/org.oatlug/src/org/oatlug/gateway/RequestHead.java
+++ b/org.oatlug/src/org/oatlug/gateway/RequestHead.java
@@ -10,7 +10,7 @@
 /**
  * Head of a caller's request, decoded from its wire form. Immutable.
  *
- * @param id the id of the caller's attempt, forwarded unchanged
+ * @param id the id of this try of the caller, forwarded unchanged
  * @param host the requested host
  * @param path the path without its query
  * @param key the caller's key, empty if absent
--- a/org.oatlug/src/org/oatlug/gateway/RouteKind.java
+++ b/org.oatlug/src/org/oatlug/gateway/RouteKind.java
@@ -10,7 +10,7 @@
   /** A request may be executed more than once. */
   @JsonProperty("repeatable")
   REPEATABLE,
-  /** A request is executed at most once per attempt of the caller. */
+  /** A request is executed at most once per try of the caller. */
   @JsonProperty("at-most-once")
   AT_MOST_ONCE,
   /** The response is a stream of events. */
--- a/org.oatlug/src/org/oatlug/gateway/ServiceDefinition.java
+++ b/org.oatlug/src/org/oatlug/gateway/ServiceDefinition.java
@@ -13,7 +13,7 @@
  * @param name the name of the service
  * @param maximumConnections the maximum number of connections that one upstream accepts from all
  *     clients
- * @param engine the size of its upstreams if they are model engines
+ * @param engine the capacity and models of its upstreams if they are model engines
  * @param coldStart the reduced capacity of its upstreams after a start, empty if they have their
  *     full capacity at once
  */
@@ -40,12 +40,12 @@
   public record ColdStart(long millis, double requestsPerSecond) {}
 
   /**
-   * Size of the model engines of a service.
+   * Capacity and models of the engines of a service.
    *
    * @param slots the maximum number of concurrently running requests
    * @param memoryTokens the capacity of the memory of one engine, in tokens
    * @param tokensPerEvent the number of tokens per event of a stream
-   * @param models the models that the engine serves
+   * @param models the models that each engine serves
    */
   public record Engine(int slots, long memoryTokens, int tokensPerEvent, List<Model> models) {}
 
--- a/org.oatlug/src/org/oatlug/gateway/ServiceRollout.java
+++ b/org.oatlug/src/org/oatlug/gateway/ServiceRollout.java
@@ -9,12 +9,12 @@
 import org.oatlug.platform.StoreRevision;
 
 /**
- * Order to move the traffic of a service to a version, with its progress. Immutable.
+ * Request to move the traffic of a service to a version, with its progress. Immutable.
  *
  * @param service the service
  * @param targetVersion the version that receives the traffic
- * @param orderedAt the revision of the store at which the order was written; it distinguishes
- *     orders for the same version
+ * @param orderedAt the revision of the store at which the request was written; it distinguishes
+ *     roll-outs to the same version
  * @param durationMillis the maximum duration of the move, in milliseconds
  * @param progress the progress that the system recorded, empty before the start
  */
@@ -40,19 +40,19 @@
    *
    * @param state the state
    * @param targetVersion the version to which the state refers; a different version belongs to an
-   *     earlier order
+   *     earlier roll-out
    * @param startedAtMillis the time of the start, in milliseconds since 1970
    */
   public record Progress(State state, String targetVersion, long startedAtMillis) {}
 
-  /** Returns the state of the current order, empty if it has not started yet. */
+  /** Returns the state of the current roll-out, empty if it has not started yet. */
   public Optional<State> state() {
     return progress
         .filter(current -> current.targetVersion().equals(targetVersion))
         .map(Progress::state);
   }
 
-  /** Returns the start of the current order in milliseconds since 1970, empty before it. */
+  /** Returns the start of the current roll-out in milliseconds since 1970, empty before it. */
   public OptionalLong begunAtMillis() {
     return state()
         .flatMap(unused -> progress)
@@ -60,13 +60,13 @@
         .orElse(OptionalLong.empty());
   }
 
-  /** Returns whether the order has neither succeeded nor been rolled back. */
+  /** Returns whether the roll-out has neither succeeded nor been rolled back. */
   public boolean runs() {
     return state().map(current -> current == State.RUNNING).orElse(true);
   }
 
   /**
-   * Returns whether both are states of the same order. An order that was written again after a
+   * Returns whether both are states of the same roll-out. A request that was written again after a
    * restore of the store has a new revision, so across epochs the target alone identifies it.
    */
   public boolean isSameOrderAs(ServiceRollout other) {
@@ -80,7 +80,7 @@
     return state().map(current -> current == State.RUNNING ? 1 : 2).orElse(0);
   }
 
-  /** Returns the same order with this progress. */
+  /** Returns the same roll-out with this progress. */
   public ServiceRollout withProgress(Progress newProgress) {
     return new ServiceRollout(
         service, targetVersion, orderedAt, durationMillis, Optional.of(newProgress));
--- a/org.oatlug/src/org/oatlug/gateway/UpstreamRecord.java
+++ b/org.oatlug/src/org/oatlug/gateway/UpstreamRecord.java
@@ -11,7 +11,7 @@
 import org.oatlug.config.Kinds;
 
 /**
- * Registration of an upstream, written by its process at each start. Immutable.
+ * Registration of one process of an upstream, written by that process. Immutable.
  *
  * @param service the service that it serves
  * @param host the IP address
