--- a/org.oatlug/src/org/oatlug/internal/cascade/RatingTable.java
+++ b/org.oatlug/src/org/oatlug/internal/cascade/RatingTable.java
@@ -7,13 +7,18 @@
 import java.util.Map;
 
 /**
- * Counts of the rated responses that met the quality target, per workspace, task and model.
+ * Counts of the rated responses that met or missed the quality target, per workspace, task and
+ * model.
  *
  * <p>Old ratings decay, so that a change of quality becomes visible. Responses that were submitted
  * for rating and are not rated yet are counted, too. Owned by one event loop, not thread-safe.
  */
 public final class RatingTable {
-  private static final double DECAY_THRESHOLD = 1000;
+  /**
+   * Maximum of the decayed number of ratings of a subject. Once it is reached, each new rating
+   * decays the earlier ones so that the number does not grow.
+   */
+  private static final double MAXIMUM_RATINGS = 1000;
 
   private final Map<Subject, Counts> rows = new HashMap<>();
 
@@ -33,7 +38,7 @@
   /** Records the rating of a submitted response. */
   public void rated(Subject subject, boolean met) {
     Counts previous = counts(subject);
-    double decay = previous.total() >= DECAY_THRESHOLD ? 1 - 1 / DECAY_THRESHOLD : 1;
+    double decay = previous.total() >= MAXIMUM_RATINGS ? 1 - 1 / MAXIMUM_RATINGS : 1;
     double newMet = previous.met() * decay + (met ? 1 : 0);
     double newMissed = previous.missed() * decay + (met ? 0 : 1);
     rows.put(subject, new Counts(newMet, newMissed, Math.max(0, previous.unrated() - 1)));
--- a/org.oatlug/src/org/oatlug/internal/metrics/Meters.java
+++ b/org.oatlug/src/org/oatlug/internal/metrics/Meters.java
@@ -16,7 +16,10 @@
     this.registry = registry;
   }
 
-  /** Returns the meters of a registry; registers the counters of all refusal reasons. */
+  /**
+   * Returns the meters of a registry. Registers the counters of all refusal reasons, so that each
+   * exists from the start.
+   */
   public static Meters of(MetricRegistry registry) {
     Meters meters = new Meters(registry);
     for (RefusalReason reason : RefusalReason.values()) {
--- a/org.oatlug/src/org/oatlug/internal/platform/PlatformCalls.java
+++ b/org.oatlug/src/org/oatlug/internal/platform/PlatformCalls.java
@@ -48,7 +48,7 @@
    * accepted.
    *
    * @param operation the operation, for error messages
-   * @param acceptedStatuses the accepted statuses
+   * @param acceptedStatuses the HTTP statuses that do not fail the call
    */
   public static Uni<HttpResponse<Buffer>> call(
       String operation,
--- a/org.oatlug/src/org/oatlug/internal/platform/StoreCalls.java
+++ b/org.oatlug/src/org/oatlug/internal/platform/StoreCalls.java
@@ -40,7 +40,7 @@
    * Returns the calls of a client that has not sent any yet.
    *
    * @param epochHeader the response header that holds the epoch of the store
-   * @param acceptedStatuses the accepted statuses
+   * @param acceptedStatuses the HTTP statuses that do not fail a call
    */
   public static StoreCalls create(String epochHeader, Set<Integer> acceptedStatuses) {
     return new StoreCalls(epochHeader, acceptedStatuses);
@@ -101,7 +101,7 @@
     return !expected.equals(StoreRevision.NONE) && expected.epoch() < epoch.newest();
   }
 
-  /** Returns the failure of a call that was answered or prepared in {@code earlierEpoch}. */
+  /** Returns the failure of a call whose response or condition is of {@code earlierEpoch}. */
   public PlatformUnavailableException earlierEpochFailure(String operation, long earlierEpoch) {
     EarlierEpochException cause =
         new EarlierEpochException(operation, earlierEpoch, epoch.newest());
--- a/org.oatlug/src/org/oatlug/internal/util/Hashes.java
+++ b/org.oatlug/src/org/oatlug/internal/util/Hashes.java
@@ -31,7 +31,7 @@
     return Hashing.murmur3_128().newHasher().putLong(first).putLong(second).hash().asLong();
   }
 
-  /** Returns the members in rendezvous order for {@code subject}, highest rank first. */
+  /** Returns the members in rendezvous order for {@code subject}, lowest hash first. */
   public static List<String> rendezvous(String subject, List<String> members) {
     return members.stream()
         .map(member -> new Ranked(hash64(subject, member), member))
--- a/org.oatlug/src/org/oatlug/internal/util/MonotonicClock.java
+++ b/org.oatlug/src/org/oatlug/internal/util/MonotonicClock.java
@@ -16,9 +16,9 @@
  * for which the host was suspended.
  *
  * <p>The monotonic system clock does not advance while the host is suspended, so that data read
- * before a suspension would seem as fresh after it. It is therefore compared with the time of day
- * and, when the two diverge, with the time since boot: if both show the same jump, the host was
- * suspended; otherwise the time of day was set. Invariant: the clock never runs backwards.
+ * before a suspension would seem as fresh after it as before. It is therefore compared with the
+ * time of day and, when the two diverge, with the time since boot: if both show the same jump, the
+ * host was suspended; otherwise the time of day was set. Invariant: the clock never runs backwards.
  * Thread-safe.
  */
 public final class MonotonicClock implements InstantSource {
