--- a/org.oatlug/src/org/oatlug/config/GatewaySettingsReader.java
+++ b/org.oatlug/src/org/oatlug/config/GatewaySettingsReader.java
@@ -24,8 +24,8 @@
   /**
    * Reads settings.
    *
-   * @throws IllegalArgumentException if a field is missing or invalid; the message has its path and
-   *     value
+   * @throws IllegalArgumentException if a field is missing or invalid; the message has its name and
+   *     value, of an address that is not {@code HOST:PORT} the value alone
    */
   static GatewaySettings read(JsonNode tree) {
     return new GatewaySettings(
