--- a/org.oatlug.pgm/src/org/oatlug/pgm/CommandSession.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/CommandSession.java
@@ -66,9 +66,9 @@
   }
 
   /**
-   * Returns the platform that the command line names.
+   * Returns the platform that is given by {@code --platform} or {@code OATLUG_PLATFORM}.
    *
-   * @throws UsageException if the command line names none
+   * @throws UsageException if neither is given
    */
   Platform platform() throws UsageException {
     Settings.Address address =
@@ -76,12 +76,17 @@
     return HttpPlatform.create(vertx(), address);
   }
 
-  /** Sends a GET to the instance's operator port and returns the response. */
+  /**
+   * Sends a GET to the instance that is given by {@code --instance} or {@code OATLUG_INSTANCE} and
+   * returns the response.
+   *
+   * @param parameters the names of the query parameters, each followed by its value
+   */
   JsonNode getFromInstance(String path, String... parameters) throws OatlugException {
     return sendToInstance(HttpMethod.GET, path, parameters);
   }
 
-  /** Sends a PUT to the instance's operator port and returns the response. */
+  /** Sends a PUT, as {@link #getFromInstance} sends a GET. */
   JsonNode putToInstance(String path, String... parameters) throws OatlugException {
     return sendToInstance(HttpMethod.PUT, path, parameters);
   }
--- a/org.oatlug.pgm/src/org/oatlug/pgm/Oatlug.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/Oatlug.java
@@ -76,8 +76,8 @@
     if (failure instanceof ConfigurationInvalidException) {
       return ExitCode.INVALID;
     }
-    boolean platform = failure instanceof PlatformUnavailableException;
-    if (platform || failure instanceof PlatformBusyException) {
+    boolean unavailable = failure instanceof PlatformUnavailableException;
+    if (unavailable || failure instanceof PlatformBusyException) {
       return ExitCode.PLATFORM_UNAVAILABLE;
     }
     return ExitCode.FAILED;
--- a/org.oatlug.pgm/src/org/oatlug/pgm/ObjectPublisher.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/ObjectPublisher.java
@@ -54,7 +54,7 @@
 
   /** Publishes content, whatever the current content of the object is. */
   void publish(ObjectKey key, JsonNode content) throws OatlugException {
-    report(key, session.await(Publisher.to(platform).publish(key, content)));
+    printAndWait(key, session.await(Publisher.to(platform).publish(key, content)));
   }
 
   /**
@@ -69,10 +69,11 @@
     }
     ObjectNode copy = Kinds.withoutPublishId(existing.get().value()).deepCopy();
     JsonNode content = change.apply(copy);
-    report(key, session.await(Publisher.to(platform).publishIfCurrent(key, existing, content)));
+    printAndWait(
+        key, session.await(Publisher.to(platform).publishIfCurrent(key, existing, content)));
   }
 
-  /** Returns the names of the objects of a kind that have a state and a value in a field. */
+  /** Returns the names of the objects of a kind with the given field value and state. */
   List<String> namesWhere(String kind, String field, String value, String state)
       throws OatlugException {
     List<String> names = new ArrayList<>();
@@ -90,7 +91,7 @@
     return result;
   }
 
-  private void report(ObjectKey key, Publisher.Published published) throws OatlugException {
+  private void printAndWait(ObjectKey key, Publisher.Published published) throws OatlugException {
     String text = published.result().name().toLowerCase(java.util.Locale.ROOT);
     if (session.isJson()) {
       ObjectNode node = Json.STRICT.createObjectNode();
@@ -108,20 +109,20 @@
 
   private void awaitInForce(ObjectKey key, StoreRevision publishedRevision) throws OatlugException {
     long deadlineNanos = System.nanoTime() + WAIT_TIMEOUT.toNanos();
-    List<String> missing = instancesNotInForce(key, publishedRevision);
-    while (!missing.isEmpty() && System.nanoTime() < deadlineNanos) {
+    List<String> notInForce = instancesNotInForce(key, publishedRevision);
+    while (!notInForce.isEmpty() && System.nanoTime() < deadlineNanos) {
       sleepUntilNextPoll();
-      missing = instancesNotInForce(key, publishedRevision);
+      notInForce = instancesNotInForce(key, publishedRevision);
     }
-    if (missing.isEmpty()) {
+    if (notInForce.isEmpty()) {
       session.print(key + " is in force at every live instance");
       return;
     }
-    session.print(key + " is not known to be in force at: " + String.join(", ", missing));
+    session.print(key + " is not known to be in force at: " + String.join(", ", notInForce));
     result = ExitCode.NOT_IN_FORCE;
   }
 
-  /** Returns the instances that have not confirmed this revision. */
+  /** Returns the names of the live instances at which an older revision is in force. */
   private List<String> instancesNotInForce(ObjectKey key, StoreRevision publishedRevision)
       throws OatlugException {
     JsonNode response =
--- a/org.oatlug.pgm/src/org/oatlug/pgm/StatusCommand.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/StatusCommand.java
@@ -116,7 +116,7 @@
         heldRequest.path("lapsesMillis").asLong() / MILLIS_PER_SECOND);
   }
 
-  /** Returns the progress of a roll-out at this instance, in percent. */
+  /** Returns the version, progress, share and evidence of a roll-out at this instance. */
   private static String rolloutState(JsonNode rollout) {
     return String.format(
         Locale.ROOT,
