--- a/org.oatlug.standin/src/org/oatlug/standin/EngineStandin.java
+++ b/org.oatlug.standin/src/org/oatlug/standin/EngineStandin.java
@@ -20,39 +20,39 @@
 /**
  * Simulates a model engine: slots, a queue, prefill and decode times, a prefix cache, load reports,
  * and a record of each request that ran. Faults: {@code refuse}, {@code fail}, {@code cutAfter}
- * (closes the connection after that many tokens), {@code hang}, {@code leaving}, {@code slowFactor}
- * (multiplies prefill and decode times), {@code wrongRequest} (responds with the id of another
- * request). Used from one event loop.
+ * (closes the connection after that many tokens), {@code hang}, {@code leaving} (set in load
+ * reports), {@code slowFactor} (multiplies prefill and decode times), {@code wrongRequest}
+ * (responds with the id of another request). Used from one event loop.
  */
 public final class EngineStandin {
   private static final int CHARACTERS_PER_TOKEN = 4;
   private static final int DEFAULT_TOKENS = 16;
-  private static final int CACHED_PREFIXES = 64;
+  private static final int MAX_CACHED_PREFIXES = 64;
   private static final int PREFIX_CHARACTERS = 512;
   private static final double PREFILL_MILLIS_PER_TOKEN = 0.05;
 
   private final Vertx vertx;
   private final String name;
-  private final Speed speed;
+  private final Capacity capacity;
   private final Faults faults = new Faults();
   private final JsonArray records = new JsonArray();
   private final Deque<Job> queue = new ArrayDeque<>();
   private final Map<Integer, Boolean> cachedPrefixes = new LinkedHashMap<>();
   private int runningJobs;
 
-  private EngineStandin(Vertx vertx, String name, Speed speed) {
+  private EngineStandin(Vertx vertx, String name, Capacity capacity) {
     this.vertx = vertx;
     this.name = name;
-    this.speed = speed;
+    this.capacity = capacity;
   }
 
   /**
-   * Capacity and decode speed of an engine.
+   * Slots and decode time of an engine.
    *
    * @param slots the number of requests that run concurrently
    * @param decodeMillis the time per output token, in milliseconds
    */
-  public record Speed(int slots, int decodeMillis) {}
+  public record Capacity(int slots, int decodeMillis) {}
 
   private final class Job {
     private final RoutingContext context;
@@ -74,7 +74,7 @@
       this.promptTokens = prompt.length() / CHARACTERS_PER_TOKEN;
       int prefixHash = prompt.substring(0, Math.min(PREFIX_CHARACTERS, prompt.length())).hashCode();
       this.prefixCached = cachedPrefixes.put(prefixHash, true) != null;
-      if (cachedPrefixes.size() > CACHED_PREFIXES) {
+      if (cachedPrefixes.size() > MAX_CACHED_PREFIXES) {
         cachedPrefixes.remove(cachedPrefixes.keySet().iterator().next());
       }
     }
@@ -82,8 +82,8 @@
 
   /** Starts an engine that listens on the given host and port. */
   public static Future<HttpServer> start(
-      Vertx vertx, String name, String host, int port, Speed speed) {
-    EngineStandin engine = new EngineStandin(vertx, name, speed);
+      Vertx vertx, String name, String host, int port, Capacity capacity) {
+    EngineStandin engine = new EngineStandin(vertx, name, capacity);
     return vertx.createHttpServer().requestHandler(engine.router()).listen(port, host);
   }
 
@@ -142,7 +142,7 @@
   }
 
   private void startQueuedJobs() {
-    while (runningJobs < speed.slots() && !queue.isEmpty()) {
+    while (runningJobs < capacity.slots() && !queue.isEmpty()) {
       Job job = queue.poll();
       if (!job.disconnected) {
         runningJobs++;
@@ -187,7 +187,7 @@
       complete(job);
       return;
     }
-    long tokenMillis = Math.max(1, (long) speed.decodeMillis() * slowdownFactor());
+    long tokenMillis = Math.max(1, (long) capacity.decodeMillis() * slowdownFactor());
     vertx.setTimer(
         tokenMillis,
         unused -> {
--- a/org.oatlug.standin/src/org/oatlug/standin/PlatformStandin.java
+++ b/org.oatlug.standin/src/org/oatlug/standin/PlatformStandin.java
@@ -21,9 +21,9 @@
 /**
  * Simulates the platform: objects with versions, conditional updates, watches, rate limits and an
  * instance list. Faults: {@code down}, {@code loseReply} (a write takes effect but its response is
- * lost), {@code hang}, {@code staleList} (keeps the snapshot that {@code staleRead} returns from
- * following a write), {@code staleRead} (a list returns that snapshot), {@code gap} (watches are
- * not notified of a write), {@code slowMillis}. Used from one event loop.
+ * lost), {@code hang}, {@code staleRead} (a list returns a snapshot from before the last write),
+ * {@code staleList} (a write does not renew that snapshot), {@code gap} (watches are not notified
+ * of a write), {@code slowMillis} (delays each call). Used from one event loop.
  */
 public final class PlatformStandin {
   private static final int WRITES_PER_SECOND = 100;
--- a/org.oatlug.standin/src/org/oatlug/standin/ServiceStandin.java
+++ b/org.oatlug.standin/src/org/oatlug/standin/ServiceStandin.java
@@ -16,7 +16,8 @@
 /**
  * Simulates a plain service that counts how often it ran the request of each idempotency key.
  * Faults: {@code refuse}, {@code cutAfterRun} (runs and then closes the connection), {@code hang}
- * (runs and never responds), {@code slowMillis}. Used from one event loop.
+ * (runs and never responds), {@code leaving} (set in load reports), {@code slowMillis} (delays each
+ * response). Used from one event loop.
  */
 public final class ServiceStandin {
   private final Vertx vertx;
--- a/org.oatlug.standin/src/org/oatlug/standin/Standin.java
+++ b/org.oatlug.standin/src/org/oatlug/standin/Standin.java
@@ -40,10 +40,10 @@
 
   private static Options options() {
     return new Options()
-        .addRequiredOption("k", "kind", true, "what to stand in for")
-        .addRequiredOption("p", "ports", true, "where to listen")
-        .addOption("s", "slots", true, "how many requests an engine runs at once")
-        .addOption("d", "decode-millis", true, "the time of a token");
+        .addRequiredOption("k", "kind", true, "the system to simulate")
+        .addRequiredOption("p", "ports", true, "the ports to listen on, separated by commas")
+        .addOption("s", "slots", true, "the number of requests that an engine runs concurrently")
+        .addOption("d", "decode-millis", true, "the time per output token, in milliseconds");
   }
 
   private static void start(CommandLine line) throws ParseException {
@@ -54,7 +54,7 @@
     List<Future<HttpServer>> servers = new ArrayList<>();
     for (String portText : line.getOptionValue("ports").split(",")) {
       int port = Integer.parseInt(portText);
-      servers.add(startStandin(vertx, kind, port, new EngineStandin.Speed(slots, decodeMillis)));
+      servers.add(startStandin(vertx, kind, port, new EngineStandin.Capacity(slots, decodeMillis)));
     }
     Future.all(servers)
         .onComplete(
@@ -66,10 +66,10 @@
   }
 
   private static Future<HttpServer> startStandin(
-      Vertx vertx, String kind, int port, EngineStandin.Speed speed) throws ParseException {
+      Vertx vertx, String kind, int port, EngineStandin.Capacity capacity) throws ParseException {
     return switch (kind) {
       case "platform" -> PlatformStandin.start(vertx, HOST, port);
-      case "engine" -> EngineStandin.start(vertx, "engine-" + port, HOST, port, speed);
+      case "engine" -> EngineStandin.start(vertx, "engine-" + port, HOST, port, capacity);
       case "service" -> ServiceStandin.start(vertx, HOST, port);
       case "rating" -> RatingStandin.start(vertx, HOST, port);
       default -> throw new ParseException("unknown kind " + kind);
--- a/org.oatlug.standin/src/org/oatlug/standin/TcpRelay.java
+++ b/org.oatlug.standin/src/org/oatlug/standin/TcpRelay.java
@@ -17,14 +17,14 @@
  * drop bytes and delay them. Used from one event loop.
  */
 public final class TcpRelay {
-  /** Treatment of connections and bytes. */
+  /** Selects how the relay treats connections and bytes. */
   public enum Mode {
     /** Forwards everything. */
     PASS,
     /** Closes open connections and rejects new ones. */
     CUT,
     /** Accepts connections but discards all bytes, as a network that drops packets. */
-    HOLD
+    DROP
   }
 
   private final Vertx vertx;
@@ -71,7 +71,7 @@
     return !blockedPrefix.isEmpty() && socket.remoteAddress().host().startsWith(blockedPrefix);
   }
 
-  /** Delays bytes in each direction, by a time in milliseconds. */
+  /** Sets the delay of bytes in each direction, in milliseconds. */
   public void setDelay(long millis) {
     delayMillis = millis;
   }
@@ -109,7 +109,7 @@
   }
 
   private void forwardBytes(Buffer bytes, NetSocket to) {
-    if (mode == Mode.HOLD) {
+    if (mode == Mode.DROP) {
       return;
     }
     if (delayMillis > 0) {
