--- a/org.oatlug.test/tst/org/oatlug/test/DecisionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/DecisionTest.java
@@ -25,7 +25,10 @@
 import org.oatlug.internal.rollout.CandidateEvidence;
 import org.oatlug.internal.rollout.RolloutGuard;
 
-/** Checks the bounds of rate limits, retries, the request queue, cascade stages and the guard. */
+/**
+ * Checks the bounds of rate limits, retries, the admission queue, cascade stages and the roll-out
+ * guard.
+ */
 class DecisionTest {
   private static final String SEED = "20261202";
   private static final Cascade CASCADE = new Cascade(List.of("small", "large"), 1, 0.9);
@@ -110,7 +113,7 @@
     assertTrue(queue.enqueue(request, clock.instant()).isEmpty());
   }
 
-  /** Checks that requests of low priority are refused first when few places are left. */
+  /** Checks that requests of low priority are refused first when little capacity is left. */
   @Example
   void testLowPriorityIsShedFirst() {
     OpenRequests openRequests = OpenRequests.withBound(100);
--- a/org.oatlug.test/tst/org/oatlug/test/EvacuationProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/EvacuationProcessTest.java
@@ -16,8 +16,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Runs separate processes and checks that an evacuated zone gets no requests, and that an upstream
- * in a cold start gets few.
+ * Guards against requests that are sent to an evacuated zone, also by an instance that starts
+ * during the evacuation while the store is unavailable, and against more requests than an upstream
+ * can take during a cold start. Runs separate processes.
  */
 public class EvacuationProcessTest {
   private static final String ZONE_OF_FIRST = "hall-a";
@@ -123,6 +124,10 @@
     awaitNoMoreRequestsAt(1, "i-1");
   }
 
+  /**
+   * Entries that another program writes to the store may have an unknown state or malformed fields.
+   * Only the upstreams of such entries are excluded.
+   */
   @Test
   public void testUpstreamWithUnknownStateIsExcludedAndOthersAreServed() throws IOException {
     start(1);
--- a/org.oatlug.test/tst/org/oatlug/test/FakePlatform.java
+++ b/org.oatlug.test/tst/org/oatlug/test/FakePlatform.java
@@ -39,12 +39,15 @@
     return new FakePlatform(true);
   }
 
-  /** Returns a platform that ignores the expected revision of a write, for negative tests. */
+  /**
+   * Returns a platform that ignores the expected revision of a write. Tests use it to show that
+   * they would detect a missing revision check.
+   */
   static FakePlatform unconditional() {
     return new FakePlatform(false);
   }
 
-  /** A pending call. */
+  /** A call that has not taken effect yet. */
   interface Call {
     void deliver(boolean replyLost);
   }
--- a/org.oatlug.test/tst/org/oatlug/test/GatewayAnswerProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/GatewayAnswerProcessTest.java
@@ -19,8 +19,10 @@
 import org.testng.annotations.Test;
 
 /**
- * Runs separate processes and checks that a caller gets the complete response to its own request,
- * or a refusal that states correctly whether the request ran.
+ * Guards against responses that are truncated, duplicated or belong to another request, and against
+ * refusals that state wrongly whether the request ran. Such failures come about when an upstream
+ * refuses, fails, hangs, loses or truncates its response, or responds to another request. Runs
+ * separate processes.
  */
 public class GatewayAnswerProcessTest {
   /**
@@ -265,6 +267,7 @@
         () -> upstream(1).cancelled() == upstream(1).arrivals().size());
   }
 
+  /** The timeout of the route, which is before the deadline of the caller, ends the request. */
   @Test
   public void testUnresponsiveUpstreamsTimeOutWithUnknownOutcome() throws IOException {
     setBehaviourOfAll(Behaviour.HANGS);
@@ -274,6 +277,7 @@
     assertEquals(cluster.arrivals(), 1);
   }
 
+  /** The entry i-0 is stale: i-1 now has its address and rejects requests addressed to i-0. */
   @Test
   public void testUpstreamAtReusedAddressIsReplacedByAnother() throws IOException {
     cluster.register("i-0", "i-1", "v1");
--- a/org.oatlug.test/tst/org/oatlug/test/GatewayCluster.java
+++ b/org.oatlug.test/tst/org/oatlug/test/GatewayCluster.java
@@ -38,13 +38,19 @@
 
   private final Path directory = Files.createTempDirectory("oatlug-gateway");
   private final Vertx vertx = Vertx.vertx();
+
+  /**
+   * Ports of each instance: those of the store (0), the callers (2), readiness (3), the peers (4)
+   * and the metrics (5); index 1 is unused.
+   */
   private final List<List<Integer>> ports = new ArrayList<>();
+
   private final Map<Integer, Process> entries = new TreeMap<>();
   final StoreStandin store = StoreStandin.create(vertx);
   final Map<String, UpstreamStandin> upstreams = new TreeMap<>();
   private final Map<String, Integer> upstreamPorts = new TreeMap<>();
   private final int storePort = Ports.free();
-  private int requests;
+  private int requestCount;
 
   private GatewayCluster() throws IOException {}
 
@@ -129,8 +135,8 @@
   }
 
   /**
-   * Makes an upstream crash on each request whose body contains a text. The upstream restarts under
-   * a new name after the given time.
+   * Makes an upstream crash on each request whose body contains the text. The upstream restarts
+   * under a new name after the given time.
    */
   void crashOn(String name, String text, long downMillis) {
     UpstreamStandin upstream = upstreams.get(name);
@@ -189,9 +195,9 @@
 
   /** Returns a request with the headers that every caller sends and a unique id. */
   HttpRequest.Builder request(int entry, String path) {
-    requests++;
+    requestCount++;
     return Http.to(callerPort(entry), path)
-        .header("Attempt-Id", "request-" + requests)
+        .header("Attempt-Id", "request-" + requestCount)
         .header("Request-Deadline", "5000")
         .header("Authorization", "Bearer " + SampleObjects.KEY)
         .POST(HttpRequest.BodyPublishers.ofString("a body"));
@@ -199,11 +205,11 @@
 
   /** Returns a request for a stream that belongs to a session. */
   HttpRequest.Builder streamRequest(int entry, String session) {
-    String sessionPrefix = Integer.toHexString(session.hashCode());
+    String sessionHash = Integer.toHexString(session.hashCode());
     return request(entry, SampleObjects.STREAM + "x")
         .header("Model", "*")
         .header("Token-Usage", "100,50")
-        .header("Prefix-Hash", "a1:60," + sessionPrefix + ":40");
+        .header("Prefix-Hash", "a1:60," + sessionHash + ":40");
   }
 
   /** Returns the state of the roll-out that the instances wrote to the store, empty for none. */
@@ -212,7 +218,8 @@
   }
 
   /**
-   * Sends streams, each of a new session, to all instances in turn until the roll-out has a state.
+   * Sends streams, each of a new session, to all instances in turn until the roll-out has the given
+   * state.
    */
   void streamUntilRolloutIs(String state) {
     int[] number = {0};
@@ -239,7 +246,7 @@
 
   /** Returns the id of the latest request. */
   String lastId() {
-    return "request-" + requests;
+    return "request-" + requestCount;
   }
 
   /** Returns the number of requests that all upstreams received. */
--- a/org.oatlug.test/tst/org/oatlug/test/GatewayInputProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/GatewayInputProcessTest.java
@@ -18,8 +18,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Runs a separate process and checks that requests that violate the protocol or the limits are
- * refused.
+ * Guards against requests that violate the protocol or the limits and are forwarded nevertheless,
+ * or that prevent later requests from being served. One has a body of ambiguous length that hides a
+ * second request (request smuggling). Runs a separate process.
  */
 public class GatewayInputProcessTest {
   private static final String REQUEST_LINE = "POST " + SampleObjects.ONCE + "x HTTP/1.1\r\n";
@@ -46,8 +47,12 @@
     cluster.close();
   }
 
+  /**
+   * Returns the name, the text and the expected status of each request; 0 if no response is
+   * required.
+   */
   @DataProvider
-  Object[][] requests() {
+  Object[][] invalidRequests() {
     String longHeader = "X-Long: " + "x".repeat(5000) + "\r\n";
     return new Object[][] {
       {"no key", REQUEST_LINE + HOST_HEADER + ID_HEADER + "Content-Length: 0\r\n\r\n", 401},
@@ -165,7 +170,7 @@
     };
   }
 
-  @Test(dataProvider = "requests")
+  @Test(dataProvider = "invalidRequests")
   public void testInvalidRequestIsRefusedAndNotForwarded(String name, String text, int status)
       throws IOException {
     int before = cluster.arrivals();
