--- a/org.oatlug.test/tst/org/oatlug/test/AnswerProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/AnswerProcessTest.java
@@ -24,8 +24,10 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests that responses are complete and belong to the caller's own request, and that a refusal
- * marked "not run" was never executed by an upstream.
+ * Guards against responses that are truncated or belong to another request, and against refusals
+ * that say "not run" although an upstream did execute the request. Such failures come about when an
+ * upstream breaks the connection, does not respond or responds to another request, and when callers
+ * read slowly, disconnect or send invalid input.
  */
 public class AnswerProcessTest {
   private TestCluster cluster;
@@ -42,16 +44,15 @@
     cluster.close();
   }
 
-  /** Clears all faults and waits until every upstream is in use again. */
+  /** Clears all faults and waits until a chat and an order succeed again. */
   @AfterMethod(alwaysRun = true)
   public void clearFaults() throws IOException {
     setEngineFaults("{}");
     setServiceFaults("{}");
     Await.until(
-        "upstreams in use again",
-        () -> Http.send(cluster.chat(0, "small", false, 1)).status() == 200);
+        "chats succeed again", () -> Http.send(cluster.chat(0, "small", false, 1)).status() == 200);
     Await.until(
-        "services in use again",
+        "orders succeed again",
         () -> Http.send(cluster.order(0, "mend-" + System.nanoTime())).status() == 200);
   }
 
--- a/org.oatlug.test/tst/org/oatlug/test/AtMostOnceProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/AtMostOnceProcessTest.java
@@ -15,7 +15,11 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Tests that an unrepeatable request runs at most once, according to the service's own record. */
+/**
+ * Guards against an order that runs twice: when concurrent callers send the same key to several
+ * instances, when the response of the service or of the platform is lost, and when an instance is
+ * killed or suspended while the order is open. The service's own record of its runs decides.
+ */
 public class AtMostOnceProcessTest {
   private static final int INSTANCES = 3;
   private TestCluster cluster;
@@ -47,12 +51,12 @@
     }
     for (int round = 0; round < 20; round++) {
       String key = "race-" + round;
-      Await.until(key + " answered", () -> Http.send(cluster.order(0, key)).status() == 200);
+      Await.until(key + " succeeds", () -> Http.send(cluster.order(0, key)).status() == 200);
       assertEquals(cluster.runs().get(key), Integer.valueOf(1), key);
     }
   }
 
-  /** An upstream runs the order and closes the connection; no instance runs it again. */
+  /** An upstream runs the order and closes the connection; no instance sends it again. */
   @Test
   public void testOrderThatRanWithoutResponseIsNotRepeated() throws IOException {
     for (int port : cluster.servicePorts) {
@@ -63,7 +67,7 @@
     for (int index = 0; index < INSTANCES; index++) {
       int instance = index;
       Await.until(
-          "the outcome is known",
+          "the order is refused as may-have-run",
           () -> Http.send(cluster.order(instance, "cut-1")).reason().equals("may-have-run"));
     }
     assertEquals(cluster.runs().get("cut-1"), Integer.valueOf(1));
@@ -72,7 +76,10 @@
     }
   }
 
-  /** While the platform is unavailable an order is refused and not run; later its key runs once. */
+  /**
+   * While the platform is unavailable, an order is refused with a Retry-After and not run; once the
+   * platform is available again, the same key runs once.
+   */
   @Test
   public void testUnavailablePlatformRefusesAndDoesNotRun() throws IOException {
     cluster.faults(cluster.platformPort, "{\"down\":-1}");
@@ -86,7 +93,7 @@
     assertEquals(cluster.runs().get("away-1"), Integer.valueOf(1));
   }
 
-  /** Responses of the platform are lost after the write took effect. */
+  /** Responses of the platform are lost after its write to the ledger took effect. */
   @Test
   public void testLostRepliesRunOnce() throws IOException {
     for (int round = 0; round < 10; round++) {
@@ -110,8 +117,8 @@
           answers.add(Http.sendAsync(cluster.order(index, "kill-" + round + "-" + number)));
         }
       }
-      boolean freeze = round % 2 == 1;
-      if (freeze) {
+      boolean suspend = round % 2 == 1;
+      if (suspend) {
         cluster.signal(target, "STOP");
       } else {
         cluster.kill(target);
@@ -122,7 +129,7 @@
                 cluster.order((target + 1) % INSTANCES, "kill-" + round + "-" + number)));
       }
       Await.pause(1500);
-      if (freeze) {
+      if (suspend) {
         cluster.signal(target, "CONT");
       } else {
         cluster.startEntry(target);
@@ -131,7 +138,9 @@
       answers.forEach(answer -> answer.handle((done, failure) -> true).join());
       for (int number = 0; number < 5; number++) {
         String key = "kill-" + round + "-" + number;
-        Await.until(key + " decided", () -> hasFinalOutcome(Http.send(cluster.order(target, key))));
+        Await.until(
+            key + " has a final outcome",
+            () -> hasFinalOutcome(Http.send(cluster.order(target, key))));
       }
     }
     for (Map.Entry<String, Integer> run : cluster.runs().entrySet()) {
--- a/org.oatlug.test/tst/org/oatlug/test/Await.java
+++ b/org.oatlug.test/tst/org/oatlug/test/Await.java
@@ -34,7 +34,7 @@
     throw new AssertionError("condition not met within the timeout: " + description, lastException);
   }
 
-  /** Sleeps while other processes run; no assertion depends on the duration. */
+  /** Sleeps while other processes run. Prefer {@link #until} where a condition can be polled. */
   static void pause(long millis) {
     try {
       Thread.sleep(millis);
--- a/org.oatlug.test/tst/org/oatlug/test/BillingProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/BillingProcessTest.java
@@ -16,7 +16,11 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Tests that each request in the engines' records is billed exactly once. */
+/**
+ * Guards against requests that are billed twice or not at all: when an instance is killed or
+ * suspended and a witness bills in its place, when the platform is unavailable or its response to a
+ * bill is lost, and when a caller retries. The engines' own records decide which requests ran.
+ */
 public class BillingProcessTest {
   private TestCluster cluster;
 
@@ -32,7 +36,10 @@
     cluster.close();
   }
 
-  /** An instance is killed between intent, response and settlement; a witness submits its bills. */
+  /**
+   * An instance is killed while its requests are between the opening of their bills, the response
+   * and the settlement; a witness submits its bills.
+   */
   @Test
   public void testRequestsOfKilledInstanceAreBilledOnce() throws IOException {
     List<CompletableFuture<Http.Answer>> answers = new ArrayList<>();
@@ -62,7 +69,8 @@
     Await.until("the engines run its requests", () -> cluster.records().size() >= before + 8);
     cluster.signal(0, "STOP");
     Await.until(
-        "the witnesses have billed", () -> billedIds(cluster.bills()).containsAll(idsRun()));
+        "the witnesses have billed",
+        () -> billedIds(cluster.bills()).containsAll(recordedRequestIds()));
     cluster.signal(0, "CONT");
     answers.forEach(answer -> answer.handle((done, failure) -> true).join());
     Await.until("no bill is pending", () -> pendingBills() == 0);
@@ -105,11 +113,14 @@
   }
 
   private void assertBilledOnce() throws IOException {
-    Await.until("all requests are billed", () -> billedIds(cluster.bills()).containsAll(idsRun()));
+    Await.until(
+        "all requests are billed",
+        () -> billedIds(cluster.bills()).containsAll(recordedRequestIds()));
     List<JsonNode> bills = cluster.bills();
     assertEquals(billedIds(bills).size(), bills.size(), "an id is billed twice");
+    // A request that no engine ran may have a bill, but it must cost nothing.
     for (JsonNode bill : bills) {
-      boolean ran = idsRun().contains(bill.path("id").asText());
+      boolean ran = recordedRequestIds().contains(bill.path("id").asText());
       assertTrue(ran || bill.path("cost").asLong() == 0, "billed, but not run: " + bill);
     }
   }
@@ -120,7 +131,7 @@
     return ids;
   }
 
-  private TreeSet<String> idsRun() throws IOException {
+  private TreeSet<String> recordedRequestIds() throws IOException {
     TreeSet<String> requestIds = new TreeSet<>();
     for (JsonNode record : cluster.records()) {
       requestIds.add(record.path("requestId").asText());
