--- a/org.oatlug.test/tst/org/oatlug/test/ConfigurationProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/ConfigurationProcessTest.java
@@ -21,7 +21,11 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Checks that accepted configuration takes effect at every instance and never reverts. */
+/**
+ * Guards against accepted configuration that does not take effect at some instance, or that reverts
+ * there. This comes about when the platform loses responses, skips changes or returns stale lists,
+ * when instances are killed or suspended, and when a zone is isolated.
+ */
 public class ConfigurationProcessTest {
   private static final int INSTANCES = 5;
   private TestCluster cluster;
@@ -85,7 +89,10 @@
     awaitInForceEverywhere(addVersion());
   }
 
-  /** Checks that no instance reverts while watches miss changes and lists are stale. */
+  /**
+   * Checks that no instance reverts while watches miss changes and lists are stale, and that the
+   * last publish takes effect.
+   */
   @Test
   public void testStaleReadsAndGapsNeverRevert() throws IOException {
     TreeMap<Integer, Long> highest = new TreeMap<>();
@@ -105,7 +112,7 @@
     assertEquals(cluster.oatlug("version", "promote", "small-v1", "--wait"), ExitCode.OK);
   }
 
-  /** Checks that the readers of a zone are replaced when they are killed before a publish. */
+  /** Checks that zones still get changes after one of their two platform readers is killed. */
   @Test
   public void testKilledReadersAreReplaced() throws IOException {
     cluster.kill(0);
@@ -233,7 +240,10 @@
     cluster.oatlug("rollout", "finish", rollout, "--wait");
   }
 
-  /** Checks that an isolated zone stops assigning new sessions to a candidate after the bound. */
+  /**
+   * Checks that an isolated zone stops assigning new sessions to a candidate once its configuration
+   * is older than {@code freshnessMillis}, while the other zones continue.
+   */
   @Test(dependsOnMethods = "testNamedSessionIsBoundOnce")
   public void testCutZoneStopsCandidate() throws IOException {
     cluster.oatlug(
@@ -263,7 +273,10 @@
     return answer.header("Oatlug-Version").equals("small-c");
   }
 
-  /** Checks that no engine gets a request for a withdrawn version once the change is in force. */
+  /**
+   * Checks under load that no engine gets a request for a withdrawn version once the withdrawal is
+   * in force, not even for requests queued at an instance that was suspended meanwhile.
+   */
   @Test(dependsOnMethods = "testCutZoneStopsCandidate")
   public void testWithdrawnVersionGetsNoNewRequests() throws IOException {
     String next = addVersion();
@@ -279,7 +292,7 @@
     cluster.oatlug("version", "promote", "small-v1");
     cluster.oatlug("version", "withdraw", next);
     cluster.oatlug("version", "withdraw", next, "--wait");
-    Await.until("the withdrawal is in force at another instance", () -> isInForce(2, next));
+    Await.until("the version is in force at another instance", () -> isInForce(2, next));
     for (int index : new int[] {0, 2, 3, 4}) {
       Await.until(
           "the session is refused as withdrawn", () -> isRefusedAsWithdrawn(index, session));
@@ -312,7 +325,7 @@
         .count();
   }
 
-  /** Sends requests on a separate thread to the instances that are not stopped by a signal. */
+  /** Sends requests on a separate thread to all instances but the suspended one. */
   private final class Load {
     private volatile boolean running = true;
     private Thread thread;
--- a/org.oatlug.test/tst/org/oatlug/test/CrashingRequestProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/CrashingRequestProcessTest.java
@@ -37,7 +37,10 @@
   /** Time within which a starting instance has to hold the state of its peers. */
   private static final long REPLICATION_MILLIS = 3000;
 
-  /** Allowed crashes: three upstreams, and three more until the refusal is replicated. */
+  /**
+   * Allowed crashes: three until an instance refuses the request, and three more until the refusal
+   * is replicated.
+   */
   private static final int MAX_CRASHES = 6;
 
   private GatewayCluster cluster;
@@ -140,6 +143,10 @@
     assertTrue(cluster.crashes() > crashed, "the released request was not forwarded");
   }
 
+  /**
+   * Streams that are open at an upstream when it crashes may fail; sent again with the same session
+   * they must be served and not be refused like the request that caused the crash.
+   */
   @Test
   public void testOtherRequestsOfCrashedUpstreamsAreServed() throws IOException {
     List<CompletableFuture<Http.Answer>> open = new ArrayList<>();
