--- a/org.oatlug/src/org/oatlug/internal/billing/BillingSystem.java
+++ b/org.oatlug/src/org/oatlug/internal/billing/BillingSystem.java
@@ -30,11 +30,11 @@
 /**
  * Stores bills until the ledger has confirmed them.
  *
- * <p>A bill is replicated to two witnesses from before the dispatch until the ledger has confirmed
- * it. The process that handles the request submits the settled bill; if that process is lost, a
- * witness submits its copy. The ledger records only the first bill of an id, so both may submit.
- * While the platform is unavailable, bills are queued here up to a maximum. Owned by one event
- * loop, not thread-safe.
+ * <p>A bill is replicated to up to two witnesses from before the dispatch until the ledger has
+ * confirmed it. The process that handles the request submits the settled bill; if that process is
+ * lost, a witness submits its copy. The ledger records only the first bill of an id, so both may
+ * submit. While the platform is unavailable, bills are queued here up to a maximum. Owned by one
+ * event loop, not thread-safe.
  */
 public final class BillingSystem implements TickSystem {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -233,8 +233,8 @@
   }
 
   /**
-   * Returns two witnesses by rank, if possible one in another availability zone and one on another
-   * rack of this zone.
+   * Returns up to two reachable witnesses by rank, if possible one in another availability zone and
+   * one on another rack of this zone.
    */
   private List<Member> chooseWitnesses(String id) {
     List<Member> selected = new ArrayList<>();
--- a/org.oatlug/src/org/oatlug/internal/ledger/ClaimSystem.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/ClaimSystem.java
@@ -27,7 +27,8 @@
  * <p>Invariants: an attempt is dispatched only after its claim was granted and while it is not
  * abandoned. An abandoned attempt is never dispatched, even if the grant arrives late; it is
  * voided, so that a retry by the caller may run. A void or an outcome that cannot be recorded is
- * retried until it succeeds. Owned by one event loop, not thread-safe.
+ * retried until it succeeds; if the retry queue is full, it is dropped and counted. Owned by one
+ * event loop, not thread-safe.
  */
 public final class ClaimSystem implements TickSystem {
   private static final Duration RETRY_AFTER = Duration.ofSeconds(2);
@@ -102,7 +103,8 @@
   }
 
   /**
-   * Records the outcome of a claimed request; completes when it is confirmed or queued for retry.
+   * Records the outcome of a claimed request; completes when it is confirmed, queued for retry, or
+   * dropped because the retry queue is full.
    */
   public Uni<Void> end(LedgerEntry.Outcome outcome) {
     return ledger
--- a/org.oatlug/src/org/oatlug/internal/ledger/Ledger.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/Ledger.java
@@ -27,10 +27,10 @@
  *
  * <p>Claims and bills use separate shards, so that a new owner of a claim shard need not read bills
  * before it responds; bills are written less often and in larger segments. An entry is sent to the
- * owner of the shard, the first live instance by rendezvous rank, which batches the writes of all
- * instances. If the owner does not respond, this instance writes the entry itself: ownership
- * reduces the number of writes, and safety does not depend on it. Owned by one event loop, not
- * thread-safe.
+ * owner of the shard, the first by rendezvous rank of the instances that are alive and reachable,
+ * which batches the writes of all instances. If the owner does not respond or reports a failure,
+ * this instance writes the entry itself: ownership reduces the number of writes, and safety does
+ * not depend on it. Owned by one event loop, not thread-safe.
  */
 public final class Ledger {
   private static final Duration OWNER_TIMEOUT = Duration.ofMillis(700);
--- a/org.oatlug/src/org/oatlug/internal/ledger/LedgerEntry.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/LedgerEntry.java
@@ -57,14 +57,14 @@
    *
    * @param key the key of the claim
    * @param attempt the attempt id
-   * @param kind whether the request ran and whether its response is recorded
+   * @param kind whether the request is known to have run, and whether its response is recorded
    * @param status the HTTP status of the response
    * @param contentType the content type of the response
    * @param body the response body, empty if it was not recorded
    */
   record Outcome(String key, String attempt, Kind kind, int status, String contentType, String body)
       implements LedgerEntry {
-    /** Kind of the outcome of a claimed request. */
+    /** What is known of the outcome of a claimed request. */
     public enum Kind {
       ANSWERED,
       ANSWER_NOT_KEPT,
--- a/org.oatlug/src/org/oatlug/internal/ledger/LedgerResult.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/LedgerResult.java
@@ -36,7 +36,10 @@
     EXPIRED,
     /** The entry is recorded. */
     RECORDED,
-    /** An earlier entry for the key or id takes precedence; nothing changed. */
+    /**
+     * An earlier entry for the key or id takes precedence, or the outcome is of an attempt that
+     * does not hold the claim; nothing changed.
+     */
     @JsonProperty("ALREADY")
     ALREADY_RECORDED,
     /** The session is bound to a version. */
--- a/org.oatlug/src/org/oatlug/internal/ledger/Shard.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/Shard.java
@@ -29,12 +29,12 @@
 /**
  * Writer of one shard: holds the state that was read and the entries that are not written yet.
  *
- * <p>Invariant: a result is returned only after the write of the head that contains its entry is
- * confirmed, or, if the entry changes nothing, after the head was read again and its revision is
- * the one from which this state was built. Several writers are safe because the head is written by
- * conditional update; after a conflict or a lost reply the head is read again and the pending
- * entries are reapplied, which has no effect for those already in it. Safety does not depend on
- * clocks. Owned by one event loop, not thread-safe.
+ * <p>Invariant: a result is returned only after the write of a head that contains or references all
+ * changes of its batch is confirmed, or, if the batch changes nothing, after the head was read
+ * again and its revision is the one from which this state was built. Several writers are safe
+ * because the head is written by conditional update; after a conflict or a lost reply the head is
+ * read again and the pending entries are reapplied, which has no effect for those already in it.
+ * Safety does not depend on clocks. Owned by one event loop, not thread-safe.
  */
 public final class Shard {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -78,7 +78,8 @@
    * @param retention time for which entries are retained
    * @param interval minimum time between two writes
    * @param timeout maximum time until an entry is confirmed
-   * @param maximumHeadBytes size of the head above which its entries move to a segment
+   * @param maximumHeadBytes size above which the entries of the head move to a segment, as the
+   *     number of characters of their JSON
    */
   public record Options(
       Duration retention, Duration interval, Duration timeout, int maximumHeadBytes) {}
@@ -109,8 +110,8 @@
   /**
    * Submits an entry and completes when it is confirmed.
    *
-   * <p>Fails with {@link LedgerUnavailableException} when it was not confirmed in time; it may
-   * still take effect.
+   * <p>Fails with {@link LedgerUnavailableException} when it was not confirmed in time or the
+   * platform failed repeatedly; it may still take effect.
    */
   public Uni<LedgerResult> submit(LedgerEntry entry) {
     return Uni.createFrom()
@@ -239,7 +240,10 @@
         .replaceWithVoid();
   }
 
-  /** Moves the entries into a segment with a unique name and removes expired segments. */
+  /**
+   * Moves the entries into a segment with a name that was never used, and drops the references to
+   * expired segments from the head.
+   */
   private Uni<ShardHead> seal(ShardHead fullHead) {
     long now = clock.instant().toEpochMilli();
     String segmentName = name + "-" + UUID.randomUUID();
--- a/org.oatlug/src/org/oatlug/internal/ledger/ShardHead.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/ShardHead.java
@@ -6,7 +6,8 @@
 import java.util.List;
 
 /**
- * Root object of a shard in the platform's object store. Immutable.
+ * Root object of a shard in the platform's object store, which contains or references all entries
+ * of the shard that are retained. Immutable.
  *
  * <p>Invariant: it is written only by conditional update and never deleted.
  *
--- a/org.oatlug/src/org/oatlug/internal/ledger/ShardState.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/ShardState.java
@@ -64,9 +64,10 @@
   }
 
   /**
-   * Removes all rows older than the retention.
+   * Removes rows older than the retention.
    *
-   * <p>Rows are in insertion order, so only rows at the front are examined.
+   * <p>Rows are in insertion order, so only rows at the front are examined, up to the first that is
+   * retained. Billed ids are removed by whole hours.
    */
   void removeExpired(long nowMillis) {
     long limit = nowMillis - retention.toMillis();
