--- a/org.oatlug/src/org/oatlug/internal/http/BillDraft.java
+++ b/org.oatlug/src/org/oatlug/internal/http/BillDraft.java
@@ -11,8 +11,9 @@
 /**
  * Bill of one chat request while the response is in progress.
  *
- * <p>Invariants: nothing is charged before the first token of a response; the cost of a complete
- * response is still charged after escalation to a stronger stage. Used from one event loop.
+ * <p>Invariants: nothing is charged for a response before its first token or its completion; the
+ * cost of a complete response is still charged after escalation to a stronger stage. Used from one
+ * event loop.
  */
 final class BillDraft {
   private static final int TOKENS_PER_PRICE_UNIT = 1000;
--- a/org.oatlug/src/org/oatlug/internal/http/CallerRequest.java
+++ b/org.oatlug/src/org/oatlug/internal/http/CallerRequest.java
@@ -126,7 +126,10 @@
     refuse(Refusal.unknown(RefusalReason.UPSTREAM_FAILED, ErrorText.get().mayHaveRun));
   }
 
-  /** Marks the request as ended, after the complete response was written. */
+  /**
+   * Marks the request as ended, immediately before the end of the response is written or after the
+   * caller disconnected. Further calls have no effect.
+   */
   void finish() {
     if (!ended) {
       ended = true;
--- a/org.oatlug/src/org/oatlug/internal/http/ChatPlan.java
+++ b/org.oatlug/src/org/oatlug/internal/http/ChatPlan.java
@@ -35,10 +35,10 @@
 /**
  * Processing steps of one chat request.
  *
- * <p>Invariants: the provisional bill is sent to the witnesses before bytes are sent upstream, and
- * the settled bill before the last byte of the response. A session keeps the version of each model.
- * A request with an idempotency key is claimed first and is not repeatable. Used from one event
- * loop.
+ * <p>Invariants: a witness has acknowledged the provisional bill before bytes are sent upstream,
+ * and the settled bill before the last byte of a complete response is sent, unless none is
+ * reachable. A session keeps the version of each model. A request with an idempotency key is
+ * claimed first and is not repeatable. Used from one event loop.
  */
 final class ChatPlan implements Plan {
   private static final Duration RETRY_AFTER = Duration.ofSeconds(2);
--- a/org.oatlug/src/org/oatlug/internal/http/EventStream.java
+++ b/org.oatlug/src/org/oatlug/internal/http/EventStream.java
@@ -62,7 +62,12 @@
     void progressed();
   }
 
-  /** Starts forwarding; the stream fails if the upstream is idle for {@code idleTimeoutMillis}. */
+  /**
+   * Starts forwarding.
+   *
+   * <p>Activity is checked every {@code idleTimeoutMillis}; the stream fails if no event arrived
+   * since the previous check, unless a slow caller pauses the upstream.
+   */
   void start(long idleTimeoutMillis) {
     events = RecordParser.newDelimited(DELIMITER, source);
     events.maxRecordSize(MAXIMUM_EVENT_BYTES);
@@ -74,7 +79,7 @@
     source.resume();
   }
 
-  /** Returns the number of forwarded tokens. */
+  /** Returns the number of forwarded tokens; each event with content counts as one token. */
   int tokens() {
     return tokens;
   }
--- a/org.oatlug/src/org/oatlug/internal/http/Plan.java
+++ b/org.oatlug/src/org/oatlug/internal/http/Plan.java
@@ -20,10 +20,15 @@
   /** Returns whether the request may run more than once. */
   boolean isRepeatable();
 
-  /** Decides the route of the request, without the excluded upstreams. */
+  /**
+   * Decides the route of the request, without the excluded upstreams, at which an attempt of the
+   * request failed.
+   */
   RoutingDecision decide(Set<String> excluded, Instant now);
 
-  /** Prepares an attempt; a failure with a refusal ends the request, which did not run. */
+  /**
+   * Prepares an attempt; a failure with a refusal ends the request, and the attempt does not run.
+   */
   Uni<Void> prepare(Route route);
 
   /** Returns whether the route is still valid; checked immediately before bytes are sent. */
@@ -38,7 +43,11 @@
   /** Takes over the paused response and notifies the listener once of its end. */
   void handleResponse(Route route, HttpClientResponse response, ResponseListener listener);
 
-  /** Handles, once, the end of the request without a complete response. */
+  /**
+   * Handles, once, the end of the request without a complete response.
+   *
+   * @param mayHaveRun whether an attempt of the request may have run
+   */
   void unanswered(boolean mayHaveRun);
 
   /** Receives the end of an upstream response. */
--- a/org.oatlug/src/org/oatlug/internal/http/Problem.java
+++ b/org.oatlug/src/org/oatlug/internal/http/Problem.java
@@ -18,13 +18,13 @@
 
   private Problem() {}
 
-  /** Ends the response with the refusal, if it has not ended yet. */
+  /** Ends the response with the refusal, if it is neither ended nor closed. */
   static void send(HttpServerResponse response, Refusal refusal, String requestId) {
     send(response, refusal, requestId, wait -> Long.toString(seconds(wait)));
   }
 
   /**
-   * Ends the response with the refusal, if it has not ended yet.
+   * Ends the response with the refusal, if it is neither ended nor closed.
    *
    * @param retryAfterText formats the value of {@code Retry-After}
    */
--- a/org.oatlug/src/org/oatlug/internal/http/WholeResponse.java
+++ b/org.oatlug/src/org/oatlug/internal/http/WholeResponse.java
@@ -8,13 +8,19 @@
 import io.vertx.core.http.HttpClientResponse;
 import java.util.function.Consumer;
 
-/** Reads a non-streamed response completely. Stateless, thread-safe. */
+/**
+ * Reads a non-streamed response completely or not at all: of a response that is interrupted nothing
+ * is passed on. Stateless, thread-safe.
+ */
 final class WholeResponse {
   private static final String TRUNCATED = "its answer was cut off";
 
   private WholeResponse() {}
 
-  /** Reads the paused response; the request is reset after {@code timeoutMillis}. */
+  /**
+   * Reads the paused response; resets the request if the body is not complete after {@code
+   * timeoutMillis}.
+   */
   static void receive(
       Vertx vertx,
       HttpClientResponse response,
