--- a/org.oatlug.entry/src/org/oatlug/entry/EntryInstance.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/EntryInstance.java
@@ -55,7 +55,8 @@
  *
  * <p>Invariant: tables and systems are only accessed by the event loop of this verticle. A graceful
  * shutdown first reports the instance as not ready, still accepts requests until the load balancer
- * reacts, completes all open requests and then waits for the confirmations of the ledger.
+ * has detected this, completes all open requests and then waits, for a limited time, until the
+ * ledger has confirmed its entries.
  */
 final class EntryInstance extends VerticleBase implements Drainable {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -126,7 +127,9 @@
     deferredHandler.setDelegate(
         new SharedStateHandler(
             membership, configuration, new PeerMessageDispatcher(tables, ledger, billing, guard)));
-    network.listen().onFailure(failure -> logger.atSevere().withCause(failure).log("peers"));
+    network
+        .listen()
+        .onFailure(failure -> logger.atSevere().withCause(failure).log("cannot listen for peers"));
     AdmissionQueue queue = AdmissionQueue.create();
     PauseDetector pause = PauseDetector.create(clock, () -> confirm(tables, configuration));
     LoadSystem load =
@@ -246,7 +249,10 @@
         });
   }
 
-  /** Waits until the ledger has confirmed all entries; the witnesses hold those that remain. */
+  /**
+   * Waits until the ledger has confirmed all entries or the deadline has passed. Witnesses hold the
+   * bills that remain; outcomes and voids of claims that remain are held by no other instance.
+   */
   private void awaitLedger(Promise<Void> promise, Instant deadline) {
     vertx.setPeriodic(
         SHUTDOWN_POLL_MILLIS,
--- a/org.oatlug.entry/src/org/oatlug/entry/GatewayInstance.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/GatewayInstance.java
@@ -49,10 +49,10 @@
 /**
  * Creates and runs the components of an entry instance that routes services, on one event loop.
  *
- * <p>Invariant: only the event loop of this verticle accesses tables and systems. A planned stop
- * first reports the instance as not ready, accepts requests until the load balancer has detected
- * this, completes open requests within the grace period and closes the remaining connections early
- * enough for callers to resume on another instance.
+ * <p>Invariant: only the event loop of this verticle accesses tables and systems. A graceful
+ * shutdown first reports the instance as not ready, accepts requests until the load balancer has
+ * detected this, completes open requests within the grace period and closes the remaining
+ * connections early enough for callers to resume on another instance.
  */
 final class GatewayInstance extends VerticleBase implements Drainable, SettingsWatcher.Target {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -63,16 +63,16 @@
    */
   private static final long TICK_MILLIS = 100;
 
-  /** The interval at which a planned stop polls the number of open requests. */
-  private static final long STOP_POLL_MILLIS = 20;
+  /** The interval at which a graceful shutdown polls the number of open requests. */
+  private static final long SHUTDOWN_POLL_MILLIS = 20;
 
   /** The maximum time for a load balancer that probes once a second to see two failed probes. */
-  private static final Duration BALANCER_LAG = Duration.ofMillis(2300);
+  private static final Duration BALANCER_DETECTION_TIME = Duration.ofMillis(2300);
 
   /**
    * The part of the grace period reserved for closing open requests, so the process ends in time.
    */
-  private static final Duration CLOSE_BEFORE_END = Duration.ofMillis(400);
+  private static final Duration CLOSE_RESERVE = Duration.ofMillis(400);
 
   /** The maximum age of a configuration that this instance treats as fresh. */
   private static final Duration FRESHNESS = Duration.ofSeconds(12);
@@ -122,7 +122,9 @@
   private Future<?> listen(InspectionServer inspection, GatewayComponents components) {
     // The server for callers listens first: it takes over the socket that was opened for it.
     final Future<?> callers = server.listen();
-    peerListener.listen().onFailure(failure -> logger.atSevere().withCause(failure).log("peers"));
+    peerListener
+        .listen()
+        .onFailure(failure -> logger.atSevere().withCause(failure).log("cannot listen for peers"));
     systems.forEach(TickSystem::tick);
     vertx.setPeriodic(TICK_MILLIS, unused -> systems.forEach(TickSystem::tick));
     return callers
@@ -140,7 +142,7 @@
     logStartIfServing();
   }
 
-  /** Logs the end of the start once the instance listens and its readiness gate is open. */
+  /** Logs that the start is complete once the instance listens and its readiness gate is open. */
   private void logStartIfServing() {
     if (servingAt.isPresent() && listeningAt.isPresent()) {
       logger.atInfo().log(
@@ -235,7 +237,9 @@
                 List.of(GatewayKinds.UPSTREAM))));
   }
 
-  /** Returns the settings of the peers' protocol; only the membership receives the seeds. */
+  /**
+   * Returns the settings of the peer protocol, without seeds: only the membership receives those.
+   */
   private Settings.Peers peerSettings() {
     GatewaySettings.Peers peers = settings.peers();
     return new Settings.Peers(
@@ -289,8 +293,7 @@
   @Override
   public void applySettings(GatewaySettings changed) {
     if (context == null) {
-      logger.atInfo().log(
-          "settings read anew before the start, they take effect at the next start");
+      logger.atInfo().log("settings reloaded before the start, they take effect at the next start");
       return;
     }
     context.runOnContext(
@@ -298,7 +301,7 @@
           boolean isUnchanged = changed.equals(settings);
           settings = changed;
           membership.seeds(seedsOf(changed));
-          logger.atInfo().log("settings read anew, %s", isUnchanged ? "unchanged" : "changed");
+          logger.atInfo().log("settings reloaded, %s", isUnchanged ? "unchanged" : "changed");
         });
   }
 
@@ -312,9 +315,9 @@
               settings.name(), server.openRequests());
           stopping = true;
           membership.leave();
-          long grace = settings.bounds().grace().minus(CLOSE_BEFORE_END).toMillis();
+          long grace = settings.bounds().grace().minus(CLOSE_RESERVE).toMillis();
           server.beginShutdown(clock.instant().plusMillis(grace));
-          vertx.setTimer(BALANCER_LAG.toMillis(), timer -> awaitOpenRequests(promise));
+          vertx.setTimer(BALANCER_DETECTION_TIME.toMillis(), timer -> awaitOpenRequests(promise));
           vertx.setTimer(Math.max(1, grace), timer -> endGracePeriod(promise));
         });
     return promise.future();
@@ -323,7 +326,7 @@
   private void awaitOpenRequests(Promise<Void> promise) {
     server.closeIdleConnections();
     vertx.setPeriodic(
-        STOP_POLL_MILLIS,
+        SHUTDOWN_POLL_MILLIS,
         timer -> {
           if (server.openRequests() == 0) {
             vertx.cancelTimer(timer);
@@ -337,6 +340,6 @@
         "grace period of instance %s ended, closing %d open requests",
         settings.name(), server.openRequests());
     server.closeAllConnections();
-    vertx.setTimer(STOP_POLL_MILLIS, timer -> promise.tryComplete());
+    vertx.setTimer(SHUTDOWN_POLL_MILLIS, timer -> promise.tryComplete());
   }
 }
--- a/org.oatlug.entry/src/org/oatlug/entry/PreboundSocket.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/PreboundSocket.java
@@ -25,8 +25,8 @@
  *
  * <p>Loading the libraries takes several times as long as reading one field of the settings. A
  * caller that connects in the meantime waits in the backlog of the socket and is then served.
- * Without the socket, the system would refuse the connection and the caller would give up after a
- * few attempts.
+ * Without the socket, the operating system would refuse the connection and the caller would give up
+ * after a few attempts.
  *
  * <p>Invariant: the first server that is started with {@link #transport} receives the socket and
  * must be the server for callers. Used by the main thread, then by the transport.
@@ -35,7 +35,10 @@
   /** The settings field with the listen address for callers. */
   private static final String CALLERS = "callers";
 
-  /** The maximum number of connections that wait to be accepted: some seconds of peak load. */
+  /**
+   * The maximum number of connections that wait to be accepted: those of some seconds at the
+   * busiest instance.
+   */
   private static final int BACKLOG = 1024;
 
   private final ServerSocketChannel channel;
@@ -44,7 +47,7 @@
     this.channel = channel;
   }
 
-  /** Opens the socket; empty if the settings have no address or it cannot be bound. */
+  /** Opens the socket; empty if the settings have no valid address or it cannot be bound. */
   static Optional<PreboundSocket> open(Path settings) {
     try {
       Optional<Endpoint> callers = readCallerAddress(settings);
--- a/org.oatlug.entry/src/org/oatlug/entry/SettingsWatcher.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/SettingsWatcher.java
@@ -17,7 +17,7 @@
 import sun.misc.Signal;
 
 /**
- * Reloads the settings file on a signal or after a change of the file.
+ * Reloads the settings file on SIGHUP or after a change of the file.
  *
  * <p>Invariant: invalid settings are ignored as a whole. Runs on its own thread, from which it
  * calls the target.
@@ -25,7 +25,7 @@
 final class SettingsWatcher {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** The polling interval, so that a change without a signal takes effect within seconds. */
+  /** The polling interval; short, so that a change without a signal takes effect in seconds. */
   private static final long INTERVAL_MILLIS = 1000;
 
   private final Path file;
@@ -70,7 +70,7 @@
     try {
       target.applySettings(SettingsFile.readGateway(file));
     } catch (SettingsInvalidException e) {
-      logger.atWarning().log("changed settings are not taken: %s", e.problems());
+      logger.atWarning().log("invalid settings ignored: %s", e.problems());
     }
   }
 
