--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/PolicyBench.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/PolicyBench.java
@@ -27,7 +27,7 @@
   private static final double[] LOADS = {0.5, 0.8, 0.95, 1.1};
   private static final double FAULT_LOAD = 0.8;
   private static final String PREDICTED_COST = "predicted cost";
-  private static final String LINE = "cost and line";
+  private static final String COST_AND_QUEUE = "cost and line";
   private static final Path OUTPUT_DIRECTORY = Path.of("target");
 
   private final ArrayNode rows = Json.STRICT.createArrayNode();
@@ -60,12 +60,14 @@
     choosers.put("round robin", Baselines::roundRobin);
     choosers.put("least in flight", Baselines::leastInFlight);
     choosers.put(PREDICTED_COST, PredictedCost::create);
-    choosers.put(LINE, PredictedCost::create);
+    choosers.put(COST_AND_QUEUE, PredictedCost::create);
     return choosers;
   }
 
   private static CapacityRule capacityOf(String name) {
-    return name.equals(LINE) ? CapacityRule.slotsAndShortQueue() : CapacityRule.unbounded();
+    return name.equals(COST_AND_QUEUE)
+        ? CapacityRule.slotsAndShortQueue()
+        : CapacityRule.unbounded();
   }
 
   private void compareChoosers() {
@@ -150,9 +152,9 @@
       sums[0] += result.firstToken.getValueAtPercentile(50);
       sums[1] += result.firstToken.getValueAtPercentile(95);
       sums[2] += result.firstToken.getValueAtPercentile(99);
-      sums[3] += 100.0 * result.inTime / result.asked;
-      sums[4] += 100.0 * result.refused / result.asked;
-      sums[5] += 100.0 * result.failed / result.asked;
+      sums[3] += 100.0 * result.inTime / result.measuredRequests;
+      sums[4] += 100.0 * result.refused / result.measuredRequests;
+      sums[5] += 100.0 * result.failed / result.measuredRequests;
       sums[6] += result.inTime;
     }
     for (int index = 0; index < sums.length; index++) {
--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/PoolRun.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/PoolRun.java
@@ -61,7 +61,7 @@
    *
    * @param load the offered load as a fraction of the pool's capacity
    * @param chooser creates the upstream chooser of each instance
-   * @param capacity decides which upstreams have no capacity
+   * @param capacity decides which upstreams have no capacity left
    * @param reportLagMillis the age of load reports when they arrive
    * @param fault the injected fault
    */
@@ -84,7 +84,7 @@
   /** The measurements of a run; times are in milliseconds. */
   static final class Result {
     final Histogram firstToken = new Histogram(MAXIMUM_LATENCY_MILLIS, 3);
-    int asked;
+    int measuredRequests;
     int inTime;
     int refused;
     int failed;
@@ -126,7 +126,7 @@
           () ->
               time.every(
                   Double.parseDouble(System.getProperty("period", "1000")),
-                  () -> readLoad(tables)));
+                  () -> reportLoad(tables)));
     }
     time.after(WARM_UP_MILLIS, this::injectFault);
     scheduleNextArrival();
@@ -179,12 +179,13 @@
       case FAILING_ENGINE -> engine.fails = true;
       case LEAVING_ENGINE -> engine.leaving = true;
       default -> {
-        // ZONE_CUT takes effect when a request chooses its upstreams.
+        // ZONE_CUT takes effect when a request is created: it excludes the unreachable zones.
       }
     }
   }
 
-  private void readLoad(Tables tables) {
+  /** Reads the load of all engines now and delivers the reports after the report lag. */
+  private void reportLoad(Tables tables) {
     for (int index = 0; index < engines.size(); index++) {
       EngineModel engine = engines.get(index);
       int running = engine.running();
@@ -212,7 +213,7 @@
     boolean isMeasured =
         time.nowMillis() > WARM_UP_MILLIS && time.nowMillis() < END_MILLIS - 20_000;
     if (isMeasured) {
-      result.asked++;
+      result.measuredRequests++;
     }
     entry.retries().recordFirstAttempt();
     new SimulatedRequest(entry, request, isMeasured, time.nowMillis()).next();
@@ -224,7 +225,7 @@
     private final Workload.Request request;
     private final boolean isMeasured;
     private final double startedAtMillis;
-    private final Set<String> failedEngines = new HashSet<>();
+    private final Set<String> excludedEngines = new HashSet<>();
 
     SimulatedRequest(
         Entry entry, Workload.Request request, boolean isMeasured, double startedAtMillis) {
@@ -242,7 +243,7 @@
       for (int index = 0; index < engines.size(); index++) {
         boolean engineIsInCutZone = index % ZONES.length == 0;
         if (isInCutZone != engineIsInCutZone) {
-          failedEngines.add(nameOf(index));
+          excludedEngines.add(nameOf(index));
         }
       }
     }
@@ -264,7 +265,7 @@
               request.promptTokens(),
               request.prefix(),
               0,
-              Set.copyOf(failedEngines));
+              Set.copyOf(excludedEngines));
       RoutingDecision decision = entry.router().decide(route, entry.tables(), time.instant());
       if (decision.refusal().equals(Optional.of(RefusalReason.OVERLOADED))) {
         return false;
@@ -327,8 +328,8 @@
         return;
       }
       row.failed(time.instant());
-      failedEngines.add(name);
-      boolean retries = failedEngines.size() < MAXIMUM_ATTEMPTS && entry.retries().takeRetry();
+      excludedEngines.add(name);
+      boolean retries = excludedEngines.size() < MAXIMUM_ATTEMPTS && entry.retries().takeRetry();
       if (retries) {
         next();
       } else {
--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/RateFleet.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/RateFleet.java
@@ -234,7 +234,10 @@
                   instance.member.zone().equals(LIMITED_ZONE) && instance.partition == partition);
     }
 
-    /** Returns whether an advertised limit exempts this instance, as it is or was just cut off. */
+    /**
+     * Returns whether the requests of this instance do not count. An advertised limit exempts
+     * instances that are outside the first partition, or were until recently.
+     */
     private boolean isExempt() {
       return !span.equals(SECOND) && (partition != 0 || now.isBefore(partitionedUntil));
     }
@@ -339,7 +342,7 @@
     }
   }
 
-  /** Returns the maximum number of requests to an upstream in any span of its limit. */
+  /** Returns the maximum number of counted requests to an upstream in any span of its limit. */
   public int worst() {
     return maximumInSpan;
   }
--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/RolloutBench.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/RolloutBench.java
@@ -28,6 +28,7 @@
   /**
    * A simulated candidate.
    *
+   * @param name the label of the printed row
    * @param errors the fraction of requests that fail
    * @param misses the fraction of responses that miss the target
    */
@@ -51,11 +52,11 @@
   }
 
   private static void measure(ArrayNode rows, Candidate candidate, int runs) {
-    double answers = 0;
+    double candidateRequests = 0;
     int halted = 0;
     for (int run = 0; run < runs; run++) {
       Exposure exposure = simulateRollout(candidate, new Random(run));
-      answers += (double) exposure.answers() / runs;
+      candidateRequests += (double) exposure.candidateRequests() / runs;
       halted += exposure.halted() ? 1 : 0;
     }
     double unguarded = REQUESTS_PER_SECOND * ROLLOUT_SECONDS * CANDIDATE_WEIGHT;
@@ -64,18 +65,24 @@
         "%-34s %14.0f %14.1f %9.1fx %8.1f%%%n",
         candidate.name() + " (" + runs + " runs)",
         unguarded,
-        answers,
-        unguarded / answers,
+        candidateRequests,
+        unguarded / candidateRequests,
         haltedPercent);
     rows.addObject()
         .put("group", "rollout")
         .put("policy", candidate.name())
         .put("unguardedAnswers", unguarded)
-        .put("guardedAnswers", answers)
+        .put("guardedAnswers", candidateRequests)
         .put("haltedPercent", haltedPercent);
   }
 
-  private record Exposure(int answers, boolean halted) {}
+  /**
+   * The outcome of a simulated roll-out.
+   *
+   * @param candidateRequests the number of requests routed to the candidate
+   * @param halted whether the roll-out was halted, by all instances together or by one of them
+   */
+  private record Exposure(int candidateRequests, boolean halted) {}
 
   private static Exposure simulateRollout(Candidate candidate, Random random) {
     CandidateEvidence[] evidence = new CandidateEvidence[INSTANCES];
@@ -83,12 +90,12 @@
     for (int index = 0; index < INSTANCES; index++) {
       evidence[index] = CandidateEvidence.create();
     }
-    int answers = 0;
+    int candidateRequests = 0;
     for (int second = 0; second < ROLLOUT_SECONDS; second++) {
       for (int number = 0; number < REQUESTS_PER_SECOND; number++) {
         int index = random.nextInt(INSTANCES);
         boolean toCandidate = !locallyHalted[index] && random.nextDouble() < CANDIDATE_WEIGHT;
-        answers += toCandidate ? 1 : 0;
+        candidateRequests += toCandidate ? 1 : 0;
         observe(evidence[index], toCandidate, candidate, random);
         locallyHalted[index] |= evidence[index].sufficesForLocalHalt();
       }
@@ -97,14 +104,14 @@
         totalLogEvidence += instanceEvidence.logEvidence();
       }
       if (RolloutGuard.sufficesForGlobalHalt(totalLogEvidence)) {
-        return new Exposure(answers, true);
+        return new Exposure(candidateRequests, true);
       }
     }
     boolean anyHalted = false;
     for (boolean instanceHalted : locallyHalted) {
       anyHalted |= instanceHalted;
     }
-    return new Exposure(answers, anyHalted);
+    return new Exposure(candidateRequests, anyHalted);
   }
 
   private static void observe(
