--- a/org.oatlug.test/tst/org/oatlug/internal/config/ChangePropagationTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/config/ChangePropagationTest.java
@@ -22,9 +22,9 @@
  * object of a batch used another tree for the rest; an instance that received the change from
  * another zone pushed it only to its own children, so that the rest of the zone depended on the
  * readers; and an unresponsive child cut off its subtree. The last instance then knew after 2,005
- * ms in a healthy fleet, 3,014 ms in a zone with refused readers, and 3,259 ms with three
- * unresponsive instances per zone. Late instances log {@code by=digest}, all others {@code by=push}
- * or {@code by=watch}.
+ * ms in a healthy fleet, 3,014 ms in a zone whose readers the store refused, and 3,259 ms with
+ * three unresponsive instances per zone. Late instances log {@code by=digest}, all others {@code
+ * by=push} or {@code by=watch}.
  *
  * <p>Runs in virtual time; {@code -Doatlug.seeds=N} sets the number of seeds.
  */
@@ -33,34 +33,34 @@
   private static final int ZONES = 4;
   private static final int INSTANCES_PER_ZONE = 23;
   private static final int UPSTREAMS = 40;
-  private static final int LEAVING_AT_ONCE = 8;
-  private static final int LEAVING = 24;
-  private static final Duration START = Duration.ofSeconds(6);
-  private static final Duration PAUSE = Duration.ofMillis(700);
+  private static final int LEAVING_PER_BURST = 8;
+  private static final int LEAVING_UPSTREAMS = 24;
+  private static final Duration CONVERGENCE_TIME = Duration.ofSeconds(6);
+  private static final Duration PAUSE_BETWEEN_BURSTS = Duration.ofMillis(700);
   private static final Duration SUBSTITUTION_TIME = Duration.ofSeconds(3);
   private static final Duration OUTAGE = Duration.ofSeconds(2);
 
   /** Less than the two seconds within which the platform states that such entries reappear. */
   private static final Duration REAPPEARANCE_TIME = Duration.ofMillis(1400);
 
-  private static final Duration STEP = Duration.ofMillis(12);
+  private static final Duration MAXIMUM_PAUSE_IN_BURST = Duration.ofMillis(12);
 
   /** Half of the time for which upstreams still serve after they announced their departure. */
-  private static final Duration BOUND = Duration.ofSeconds(1);
+  private static final Duration MAXIMUM_DELAY = Duration.ofSeconds(1);
 
   private static VirtualFleet begin(int seed) {
     VirtualFleet fleet = VirtualFleet.of(ZONES, INSTANCES_PER_ZONE, seed);
     for (int number = 0; number < UPSTREAMS; number++) {
       fleet.register("i-" + number, false);
     }
-    fleet.run(START);
+    fleet.run(CONVERGENCE_TIME);
     return fleet;
   }
 
   /** Makes upstreams leave in quick succession; every second one without announcement. */
   private static List<String> leave(VirtualFleet fleet) {
     List<String> leaving = new ArrayList<>();
-    for (int number = 0; number < LEAVING; number++) {
+    for (int number = 0; number < LEAVING_UPSTREAMS; number++) {
       String upstream = "i-" + number;
       leaving.add(upstream);
       if (number % 2 == 0) {
@@ -68,10 +68,10 @@
       } else {
         fleet.remove(upstream);
       }
-      boolean pauses = number % LEAVING_AT_ONCE == LEAVING_AT_ONCE - 1;
-      fleet.run(pauses ? PAUSE : fleet.randomDuration(STEP));
+      boolean pauses = number % LEAVING_PER_BURST == LEAVING_PER_BURST - 1;
+      fleet.run(pauses ? PAUSE_BETWEEN_BURSTS : fleet.randomDuration(MAXIMUM_PAUSE_IN_BURST));
     }
-    fleet.run(START);
+    fleet.run(CONVERGENCE_TIME);
     return leaving;
   }
 
@@ -79,9 +79,9 @@
     for (String upstream : leaving) {
       for (Map.Entry<String, Duration> delay : fleet.propagationDelays(upstream).entrySet()) {
         assertTrue(
-            delay.getValue().compareTo(BOUND) <= 0,
+            delay.getValue().compareTo(MAXIMUM_DELAY) <= 0,
             delay.getKey()
-                + " knew of "
+                + " applied the departure of "
                 + upstream
                 + " after "
                 + delay.getValue()
@@ -135,11 +135,11 @@
       fleet.refuseCalls(fleet.names());
       fleet.run(OUTAGE);
       fleet.expireEntry("i-0");
-      fleet.run(OUTAGE.plus(fleet.randomDuration(PAUSE)));
+      fleet.run(OUTAGE.plus(fleet.randomDuration(PAUSE_BETWEEN_BURSTS)));
       fleet.endRefusals();
       fleet.run(REAPPEARANCE_TIME);
       fleet.register("i-0", false);
-      fleet.run(START);
+      fleet.run(CONVERGENCE_TIME);
       assertEquals(fleet.instancesThatExcluded("i-0"), List.of(), "seed " + seed);
     }
   }
--- a/org.oatlug.test/tst/org/oatlug/internal/config/EvacuationPropagationTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/config/EvacuationPropagationTest.java
@@ -25,12 +25,14 @@
  */
 public class EvacuationPropagationTest {
   private static final int SEEDS = Integer.getInteger("oatlug.seeds", 2);
-  private static final String EVACUATED = "zone-0";
-  private static final Duration START = Duration.ofSeconds(6);
+  private static final String EVACUATED_ZONE = "zone-0";
+  private static final Duration CONVERGENCE_TIME = Duration.ofSeconds(6);
   private static final Duration SUBSTITUTION_TIME = Duration.ofSeconds(3);
-  private static final Duration HEALTHY_BOUND = Duration.ofMillis(1000);
-  private static final Duration BOUND = Duration.ofSeconds(2);
-  private static final Duration RETURN_AFTER = Duration.ofMillis(700);
+  private static final Duration MAXIMUM_HEALTHY_DELAY = Duration.ofMillis(1000);
+  private static final Duration MAXIMUM_DELAY_UNDER_FAULTS = Duration.ofSeconds(2);
+
+  /** Time between events, and within which all instances apply the end of an evacuation. */
+  private static final Duration PAUSE = Duration.ofMillis(700);
 
   @DataProvider
   Object[][] sizes() {
@@ -40,33 +42,34 @@
   private static VirtualFleet begin(int zones, int perZone, int seed) {
     VirtualFleet fleet =
         VirtualFleet.of(zones, perZone, seed, List.of(List.of(GatewayKinds.EVACUATION)));
-    fleet.run(START);
+    fleet.run(CONVERGENCE_TIME);
     return fleet;
   }
 
   private static void assertAppliedWithin(
       VirtualFleet fleet, String zone, Duration bound, int seed) {
     for (Map.Entry<String, Duration> delay : fleet.propagationDelays(zone).entrySet()) {
-      String message = delay.getKey() + " knew after " + delay.getValue() + " seed " + seed;
+      String message =
+          delay.getKey() + " applied the evacuation after " + delay.getValue() + " seed " + seed;
       assertTrue(delay.getValue().compareTo(bound) <= 0, message);
     }
   }
 
   private static void evacuateAndCheck(VirtualFleet fleet, Duration bound, int seed) {
-    fleet.run(fleet.randomDuration(RETURN_AFTER));
-    fleet.evacuate(EVACUATED);
-    fleet.run(START);
-    assertAppliedWithin(fleet, EVACUATED, bound, seed);
+    fleet.run(fleet.randomDuration(PAUSE));
+    fleet.evacuate(EVACUATED_ZONE);
+    fleet.run(CONVERGENCE_TIME);
+    assertAppliedWithin(fleet, EVACUATED_ZONE, bound, seed);
   }
 
   @Test(dataProvider = "sizes")
   public void testAllApplyEvacuationAndItsEnd(int zones, int perZone) {
     for (int seed = 1; seed <= SEEDS; seed++) {
       VirtualFleet fleet = begin(zones, perZone, seed);
-      evacuateAndCheck(fleet, HEALTHY_BOUND, seed);
-      fleet.endEvacuation(EVACUATED);
-      fleet.run(RETURN_AFTER);
-      assertEquals(fleet.instancesEvacuating(EVACUATED), List.of(), "seed " + seed);
+      evacuateAndCheck(fleet, MAXIMUM_HEALTHY_DELAY, seed);
+      fleet.endEvacuation(EVACUATED_ZONE);
+      fleet.run(PAUSE);
+      assertEquals(fleet.instancesEvacuating(EVACUATED_ZONE), List.of(), "seed " + seed);
     }
   }
 
@@ -74,12 +77,12 @@
   public void testEvacuationThatEndsAndRestartsStaysApplied(int zones, int perZone) {
     for (int seed = 1; seed <= SEEDS; seed++) {
       VirtualFleet fleet = begin(zones, perZone, seed);
-      fleet.evacuate(EVACUATED);
-      fleet.run(RETURN_AFTER);
-      fleet.endEvacuation(EVACUATED);
-      fleet.evacuate(EVACUATED);
-      fleet.run(START);
-      assertEquals(fleet.instancesEvacuating(EVACUATED), fleet.names(), "seed " + seed);
+      fleet.evacuate(EVACUATED_ZONE);
+      fleet.run(PAUSE);
+      fleet.endEvacuation(EVACUATED_ZONE);
+      fleet.evacuate(EVACUATED_ZONE);
+      fleet.run(CONVERGENCE_TIME);
+      assertEquals(fleet.instancesEvacuating(EVACUATED_ZONE), fleet.names(), "seed " + seed);
     }
   }
 
@@ -88,7 +91,7 @@
     for (int seed = 1; seed <= SEEDS; seed++) {
       VirtualFleet fleet = begin(zones, perZone, seed);
       fleet.refuseCalls(fleet.readersOf("zone-1"));
-      evacuateAndCheck(fleet, BOUND, seed);
+      evacuateAndCheck(fleet, MAXIMUM_DELAY_UNDER_FAULTS, seed);
     }
   }
 
@@ -100,7 +103,7 @@
       fleet.partition("zone-1");
       fleet.refuseCalls(fleet.readersOf("zone-1"));
       fleet.run(SUBSTITUTION_TIME);
-      evacuateAndCheck(fleet, BOUND, seed);
+      evacuateAndCheck(fleet, MAXIMUM_DELAY_UNDER_FAULTS, seed);
     }
   }
 
@@ -111,21 +114,21 @@
       for (int zone = 0; zone < 5; zone++) {
         fleet.makeUnresponsive(fleet.namesIn("zone-" + zone).subList(0, 3));
       }
-      evacuateAndCheck(fleet, BOUND, seed);
+      evacuateAndCheck(fleet, MAXIMUM_DELAY_UNDER_FAULTS, seed);
     }
   }
 
-  /** A change made while all watches are broken is read by a list afterwards. */
+  /** After a failed watch a reader lists all objects, so it also reads changes made meanwhile. */
   @Test(dataProvider = "sizes")
   public void testEvacuationWhileAllWatchesAreBrokenIsApplied(int zones, int perZone) {
     for (int seed = 1; seed <= SEEDS; seed++) {
       VirtualFleet fleet = begin(zones, perZone, seed);
       fleet.refuseCalls(fleet.names());
-      fleet.evacuate(EVACUATED);
-      fleet.run(RETURN_AFTER);
+      fleet.evacuate(EVACUATED_ZONE);
+      fleet.run(PAUSE);
       fleet.endRefusals();
-      fleet.run(START);
-      assertAppliedWithin(fleet, EVACUATED, BOUND, seed);
+      fleet.run(CONVERGENCE_TIME);
+      assertAppliedWithin(fleet, EVACUATED_ZONE, MAXIMUM_DELAY_UNDER_FAULTS, seed);
     }
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/internal/config/RestoredStoreFleetTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/config/RestoredStoreFleetTest.java
@@ -19,11 +19,11 @@
  */
 public class RestoredStoreFleetTest {
   private static final int SEEDS = Integer.getInteger("oatlug.seeds", 2);
-  private static final Duration START = Duration.ofSeconds(6);
+  private static final Duration STARTUP_TIME = Duration.ofSeconds(6);
   private static final Duration PAUSE = Duration.ofMillis(700);
 
   /** The strictest bound of a deployment on the time until a configuration is applied. */
-  private static final Duration BOUND = Duration.ofSeconds(2);
+  private static final Duration APPLIED_WITHIN = Duration.ofSeconds(2);
 
   /** Twice the two seconds within which live upstreams write their entries again. */
   private static final Duration REWRITE_TIME = Duration.ofSeconds(4);
@@ -47,7 +47,7 @@
     VirtualFleet fleet = VirtualFleet.of(zones, instancesPerZone, seed, VirtualFleet.ALL_KINDS);
     fleet.register("i-1", false);
     fleet.configure(5);
-    fleet.run(START);
+    fleet.run(STARTUP_TIME);
     return fleet;
   }
 
@@ -77,7 +77,7 @@
       fleet.store().restore(copy);
       fleet.run(fleet.randomDuration(PAUSE));
       fleet.configure(9);
-      fleet.run(BOUND);
+      fleet.run(APPLIED_WITHIN);
       assertApplied(fleet, 9, "seed " + seed);
     }
   }
@@ -104,7 +104,7 @@
       for (int write = 0; write < 2 * WRITES; write++) {
         fleet.register("i-1", false);
       }
-      fleet.run(BOUND);
+      fleet.run(APPLIED_WITHIN);
       assertApplied(fleet, 9, "seed " + seed);
     }
   }
@@ -117,7 +117,7 @@
       fleet.store().suspendWatches(fleet.names(), GatewayKinds.ROUTING);
       fleet.store().restoreKeepingWatches(copy);
       fleet.configure(9);
-      fleet.run(BOUND);
+      fleet.run(APPLIED_WITHIN);
       assertApplied(fleet, 9, "seed " + seed);
     }
   }
@@ -133,7 +133,7 @@
       fleet.run(PAUSE);
       fleet.partition("zone-1");
       fleet.configure(9);
-      fleet.run(BOUND);
+      fleet.run(APPLIED_WITHIN);
       assertApplied(fleet, 9, "seed " + seed);
     }
   }
@@ -150,7 +150,7 @@
       fleet.store().restore(copy);
       fleet.configure(9);
       fleet.configure(11);
-      fleet.run(BOUND);
+      fleet.run(APPLIED_WITHIN);
       assertApplied(fleet, 11, "seed " + seed);
     }
   }
@@ -163,12 +163,12 @@
       fleet.partition("zone-1");
       fleet.store().restore(copy);
       fleet.configure(9);
-      fleet.run(BOUND);
+      fleet.run(APPLIED_WITHIN);
       assertApplied(fleet, 9, "seed " + seed);
       fleet.healPartitions();
       fleet.run(SETTLING_TIME);
       assertApplied(fleet, 9, "seed " + seed);
-      assertEquals(fleet.digests(), 1, "seed " + seed);
+      assertEquals(fleet.distinctDigests(), 1, "seed " + seed);
     }
   }
 
@@ -180,7 +180,7 @@
       fleet.refuseCalls(fleet.readersOf("zone-1"));
       fleet.store().restore(copy);
       fleet.configure(9);
-      fleet.run(BOUND);
+      fleet.run(APPLIED_WITHIN);
       assertApplied(fleet, 9, "seed " + seed);
     }
   }
@@ -210,7 +210,7 @@
     for (String name : fleet.names()) {
       assertTrue(fleet.serves(name), name);
     }
-    assertApplied(fleet, 5, "the copy is all there is");
+    assertApplied(fleet, 5, "the configuration of the copy");
   }
 
   @Test
@@ -225,13 +225,13 @@
       fleet.remove("i-3");
       fleet.run(PAUSE);
       fleet.store().restore(copy);
-      fleet.run(BOUND);
+      fleet.run(APPLIED_WITHIN);
       for (String instance : fleet.names()) {
         assertTrue(fleet.knownOf("i-2").get(instance).orElseThrow().leaving(), instance);
         assertTrue(fleet.knownOf("i-3").get(instance).isEmpty(), instance);
       }
       fleet.register("i-3", false);
-      fleet.run(BOUND);
+      fleet.run(APPLIED_WITHIN);
       assertEquals(fleet.instancesWithout("i-3"), List.of(), "seed " + seed);
     }
   }
@@ -245,7 +245,7 @@
     fleet.expireEntry("i-2");
     fleet.run(PAUSE);
     fleet.store().restore(copy);
-    fleet.run(BOUND);
+    fleet.run(APPLIED_WITHIN);
     assertEquals(fleet.instancesWithout("i-2"), fleet.names());
     fleet.run(SETTLING_TIME);
     assertEquals(fleet.instancesWithout("i-2"), List.of());
@@ -277,7 +277,7 @@
     fleet.endEvacuation("zone-1");
     fleet.run(PAUSE);
     fleet.store().restore(copy);
-    fleet.run(BOUND);
+    fleet.run(APPLIED_WITHIN);
     assertEquals(fleet.instancesEvacuating("zone-0"), fleet.names());
     fleet.evacuate("zone-0");
     fleet.endEvacuation("zone-1");
@@ -286,7 +286,7 @@
     assertEquals(fleet.instancesEvacuating("zone-1"), List.of());
   }
 
-  /** Random sequences of writes, copies, restores, partitions, refusals and restarts. */
+  /** Any sequence of writes, copies, restores, partitions, refusals and restarts converges. */
   @Test
   public void testAnyOrderOfEventsConvergesToTheStore() {
     for (int seed = 1; seed <= 5 * SEEDS; seed++) {
@@ -318,7 +318,7 @@
       fleet.endRefusals();
       fleet.run(SETTLING_TIME);
       assertApplied(fleet, version, "seed " + seed);
-      assertEquals(fleet.digests(), 1, "seed " + seed);
+      assertEquals(fleet.distinctDigests(), 1, "seed " + seed);
     }
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/internal/config/StoreOutageTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/config/StoreOutageTest.java
@@ -12,9 +12,9 @@
 /**
  * Tests the number of store calls during an outage, and how soon its end is detected.
  *
- * <p>The store refuses all instances for ten seconds while its readers watch four kinds. Guards
- * against each watch retrying on its own every half second, which took 486 calls of six readers
- * instead of 216.
+ * <p>The store refuses all instances for ten seconds while the readers of the zones watch four
+ * kinds. Guards against each watch retrying on its own every half second, which took 486 calls of
+ * six readers instead of 216.
  *
  * <p>Runs in virtual time.
  */
@@ -22,23 +22,23 @@
   private static final int SEEDS = 2;
   private static final int ZONES = 3;
   private static final int INSTANCES_PER_ZONE = 20;
-  private static final Duration START = Duration.ofSeconds(6);
+  private static final Duration STARTUP_TIME = Duration.ofSeconds(6);
   private static final Duration OUTAGE = Duration.ofSeconds(10);
   private static final Duration DETECTION_TIME = Duration.ofMillis(1500);
 
-  /** Two readers per zone retry twice a second; each requested substitute calls once. */
+  /** Two readers per zone retry twice a second; each substitute that they request calls once. */
   private static final int MAXIMUM_CALLS = 250;
 
   @Test
   public void testOneWatchProbesOutageForAll() {
     for (int seed = 1; seed <= SEEDS; seed++) {
       VirtualFleet fleet = VirtualFleet.of(ZONES, INSTANCES_PER_ZONE, seed, VirtualFleet.ALL_KINDS);
-      fleet.run(START);
+      fleet.run(STARTUP_TIME);
       fleet.refuseCalls(fleet.names());
       final int before = fleet.storeCalls();
       fleet.run(OUTAGE);
       int calls = fleet.storeCalls() - before;
-      assertTrue(calls <= MAXIMUM_CALLS, "calls " + calls + " seed " + seed);
+      assertTrue(calls <= MAXIMUM_CALLS, "store calls " + calls + " seed " + seed);
     }
   }
 
@@ -46,7 +46,7 @@
   public void testChangeDuringOutageIsAppliedSoonAfterwards() {
     for (int seed = 1; seed <= SEEDS; seed++) {
       VirtualFleet fleet = VirtualFleet.of(ZONES, INSTANCES_PER_ZONE, seed, VirtualFleet.ALL_KINDS);
-      fleet.run(START);
+      fleet.run(STARTUP_TIME);
       fleet.refuseCalls(fleet.names());
       fleet.run(OUTAGE);
       fleet.evacuate("zone-0");
--- a/org.oatlug.test/tst/org/oatlug/internal/config/VirtualFleet.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/config/VirtualFleet.java
@@ -53,12 +53,12 @@
   /** Interval at which an instance checks for due work. */
   private static final Duration TICK = Duration.ofMillis(100);
 
-  private static final Duration LIST_TIME = Duration.ofMillis(4);
-  private static final Duration CALL_TIME = Duration.ofSeconds(1);
+  private static final Duration STORE_LATENCY = Duration.ofMillis(4);
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
   private static final int MAXIMUM_DELAY_MILLIS = 6;
 
   /** Number of seed instances known to a starting instance. */
-  private static final int SEEDS = 3;
+  private static final int SEED_INSTANCES = 3;
 
   private static final List<List<String>> UPSTREAMS = List.of(List.of(GatewayKinds.UPSTREAM));
 
@@ -74,13 +74,13 @@
   private final List<List<String>> watchGroups;
   private final VirtualTime time = new VirtualTime();
   private final Map<String, Instance> instances = new TreeMap<>();
-  private final Map<Integer, Instance> byPort = new TreeMap<>();
+  private final Map<Integer, Instance> instancesByPort = new TreeMap<>();
   private final VirtualStore store = new VirtualStore();
   private final Set<String> unresponsive = new HashSet<>();
   private final Set<String> refused = new HashSet<>();
   private final Set<String> partitionedZones = new HashSet<>();
   private final Map<String, Instant> writtenAt = new TreeMap<>();
-  private Duration refusalTime = LIST_TIME;
+  private Duration refusalTime = STORE_LATENCY;
   private int storeCalls;
   private int reverts;
   private long sequence;
@@ -161,7 +161,7 @@
     @Override
     public Uni<PeerMessage> ask(Member peer, PeerMessage message, Duration timeout) {
       // A seed is addressed by its port, as its name is unknown until it responds.
-      Instance target = instances.getOrDefault(peer.name(), byPort.get(peer.peerPort()));
+      Instance target = instances.getOrDefault(peer.name(), instancesByPort.get(peer.peerPort()));
       return Uni.createFrom()
           .emitter(
               emitter -> {
@@ -190,11 +190,11 @@
         return;
       }
       boolean probe = message instanceof PeerMessage.Ping || message instanceof PeerMessage.PingFor;
-      Uni<PeerMessage> answer =
+      Uni<PeerMessage> response =
           probe
               ? membership.handle(from.membership.self(), message)
               : configuration.handle(from.membership.self(), message);
-      answer
+      response
           .subscribe()
           .with(
               item -> after(delay(), () -> emitter.complete(item)),
@@ -208,13 +208,13 @@
                 storeCalls++;
                 Runnable answer = effect.apply(emitter);
                 after(
-                    refused.contains(name()) ? refusalTime : LIST_TIME,
+                    refused.contains(name()) ? refusalTime : STORE_LATENCY,
                     () -> {
                       if (refused.contains(name())) {
                         emitter.fail(
                             new PlatformUnavailableException("refused by the store", null));
                       } else {
-                        knownEpoch.advanceTo(store.now().epoch());
+                        knownEpoch.advanceTo(store.currentRevision().epoch());
                         answer.run();
                       }
                     });
@@ -238,15 +238,15 @@
             if (refused.contains(name())) {
               emitter.fail(new PlatformUnavailableException("refused by the store", null));
             } else {
-              knownEpoch.advanceTo(store.now().epoch());
+              knownEpoch.advanceTo(store.currentRevision().epoch());
               emitter.complete(store.changesAfter(kinds, since));
             }
           };
-      if (since > store.now().number()) {
+      if (since > store.currentRevision().number()) {
         emitter.fail(new PlatformUnavailableException("no such revision", null));
         return;
       }
-      if (store.now().number() > since) {
+      if (store.currentRevision().number() > since) {
         answer.run();
         return;
       }
@@ -299,7 +299,7 @@
     List<Settings.Address> seeds =
         members.stream()
             .filter(member -> member.peerPort() % instancesPerZone == 1)
-            .limit(SEEDS)
+            .limit(SEED_INSTANCES)
             .map(member -> new Settings.Address(member.host(), member.peerPort()))
             .toList();
     for (Instance instance : fleet.instances.values()) {
@@ -322,7 +322,7 @@
     for (Member member : members) {
       Instance instance = new Instance(member);
       instances.put(member.name(), instance);
-      byPort.put(member.peerPort(), instance);
+      instancesByPort.put(member.peerPort(), instance);
     }
     return members;
   }
@@ -391,7 +391,7 @@
   }
 
   /** Returns the number of distinct digests over all objects; one if the instances agree. */
-  long digests() {
+  long distinctDigests() {
     return instances.values().stream()
         .mapToLong(instance -> instance.tables.join().digest())
         .distinct()
@@ -400,18 +400,18 @@
 
   /** Restarts an instance, which then knows only the addresses of the others. */
   void restart(String name) {
-    Instance before = instances.get(name);
-    before.stopped = true;
-    Member self = before.membership.self();
-    Instance after = new Instance(self.withEpoch(time.instant().toEpochMilli()));
-    after.membership.seeds(
-        byPort.values().stream()
+    Instance stoppedInstance = instances.get(name);
+    stoppedInstance.stopped = true;
+    Member self = stoppedInstance.membership.self();
+    Instance restarted = new Instance(self.withEpoch(time.instant().toEpochMilli()));
+    restarted.membership.seeds(
+        instancesByPort.values().stream()
             .map(instance -> instance.membership.self())
             .map(member -> new Settings.Address(member.host(), member.peerPort()))
             .toList());
-    instances.put(name, after);
-    byPort.put(self.peerPort(), after);
-    after.tick();
+    instances.put(name, restarted);
+    instancesByPort.put(self.peerPort(), restarted);
+    restarted.tick();
   }
 
   /** Returns whether an instance would serve requests. */
@@ -490,7 +490,7 @@
 
   /** Makes the store delay each refusal by one second, the timeout of a call. */
   void delayRefusals() {
-    refusalTime = CALL_TIME;
+    refusalTime = CALL_TIMEOUT;
   }
 
   /** Makes the store accept calls of all instances again. */
@@ -526,14 +526,17 @@
     partitionedZones.add(zone);
   }
 
-  /** Returns by instance the time from the write to the store until the instance applied it. */
-  Map<String, Duration> propagationDelays(String upstream) {
+  /**
+   * Returns by instance the time from the write of the departure of an upstream, or of the
+   * evacuation of a zone, until the instance applied it; over an hour if it has not.
+   */
+  Map<String, Duration> propagationDelays(String name) {
     Map<String, Duration> delays = new TreeMap<>();
     for (Instance instance : instances.values()) {
       if (!unresponsive.contains(instance.name())) {
         Instant appliedAt =
-            instance.excludedAt.getOrDefault(upstream, time.instant().plus(Duration.ofHours(1)));
-        delays.put(instance.name(), Duration.between(writtenAt.get(upstream), appliedAt));
+            instance.excludedAt.getOrDefault(name, time.instant().plus(Duration.ofHours(1)));
+        delays.put(instance.name(), Duration.between(writtenAt.get(name), appliedAt));
       }
     }
     return delays;
--- a/org.oatlug.test/tst/org/oatlug/internal/config/VirtualStore.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/config/VirtualStore.java
@@ -33,7 +33,7 @@
   record Watch(String instance, List<String> kinds, Runnable answer) {}
 
   /** Returns the current revision. */
-  StoreRevision now() {
+  StoreRevision currentRevision() {
     return new StoreRevision(epoch, revision);
   }
 
@@ -44,14 +44,14 @@
 
   /** Returns all objects of some kinds. */
   Platform.Batch list(List<String> kinds) {
-    return new Platform.Batch(now(), inCurrentEpoch(kinds, stored.values()));
+    return new Platform.Batch(currentRevision(), inCurrentEpoch(kinds, stored.values()));
   }
 
   /** Returns the changes of some kinds after a revision number of this epoch. */
   Platform.Batch changesAfter(List<String> kinds, long since) {
     List<StoredObject> changes =
         history.stream().filter(change -> change.revision().number() > since).toList();
-    return new Platform.Batch(now(), inCurrentEpoch(kinds, changes));
+    return new Platform.Batch(currentRevision(), inCurrentEpoch(kinds, changes));
   }
 
   /** Returns the objects of some kinds with their revisions in the current epoch. */
@@ -79,7 +79,7 @@
     waiting.forEach(watch -> watch.answer().run());
   }
 
-  /** Lets open watches of a kind, of some instances, time out regardless of changes. */
+  /** Makes changes no longer answer the open watches of a kind of some instances; they time out. */
   void suspendWatches(List<String> instances, String kind) {
     watches.removeIf(watch -> instances.contains(watch.instance()) && watch.kinds().contains(kind));
   }
@@ -87,7 +87,7 @@
   /** Writes an object, or removes it if the content is a tombstone. */
   void change(ObjectKey key, JsonNode value) {
     revision++;
-    StoredObject object = StoredObject.of(key, now(), value);
+    StoredObject object = StoredObject.of(key, currentRevision(), value);
     history.add(object);
     if (Kinds.isTombstone(value)) {
       stored.remove(key);
