--- a/org.oatlug.test/tst/org/oatlug/internal/gather/CrashFleetTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/CrashFleetTest.java
@@ -15,8 +15,8 @@
 
 /**
  * Guards against requests that crash each upstream that runs them and that callers retry at any
- * instance. Without replicated crash records, 33 upstreams crashed under one request, each with the
- * 3 to 30 other requests that ran there.
+ * instance. Crash records that one instance kept, and only until the caller's try ended, let 33
+ * upstreams crash under one request, each with the 3 to 30 other requests that ran there.
  *
  * <p>Many instances replicate crash records in virtual time. Once a guilty request has crashed
  * three upstreams and the records are replicated, it must reach upstreams at most three more times;
@@ -62,11 +62,12 @@
       String context = "seed " + seed;
       assertTrue(
           simulation.guiltySentLate() <= MAXIMUM_SENT_AFTERWARDS,
-          context + simulation.guiltySentLate());
+          context + ": guilty attempts sent late " + simulation.guiltySentLate());
       innocent += simulation.innocent();
       refused += simulation.innocentRefused();
     }
-    assertTrue(refused * 500 <= innocent, refused + " of " + innocent + " refused");
+    assertTrue(
+        refused * 500 <= innocent, refused + " of " + innocent + " innocent requests refused");
   }
 
   /** Compares the policies; each crash fails all requests that run on the upstream. */
@@ -136,7 +137,9 @@
     fleet.run(REPLICATED_WITHIN);
     int before = fleet.messages();
     fleet.run(SECOND.multipliedBy(10));
-    assertTrue(fleet.messages() - before <= 10 * zones * perZone, "one per second");
+    assertTrue(
+        fleet.messages() - before <= 10 * zones * perZone,
+        "more than one message per instance and second");
   }
 
   private static void recordCrash(
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/CrashSimulation.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/CrashSimulation.java
@@ -24,20 +24,20 @@
 /**
  * Simulates in virtual time a fleet whose upstreams crash under some requests while they serve
  * innocent ones: a few that repeat at a steady rate, and long ones that are sent once. Used from
- * request thread.
+ * one thread.
  */
 final class CrashSimulation {
   private static final int MAXIMUM_ATTEMPTS = 3;
   private static final Duration RESTART_TIME = Duration.ofMillis(2500);
   private static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
-  /** The policy that decides on a request. */
+  /** Decides from the recorded crashes whether a request runs, runs in isolation or is refused. */
   enum Policy {
     /** Refuses a request after three upstream processes crashed under it. */
     COUNT,
-    /** Like COUNT, but only successive crashes without a completed run since. */
+    /** Like COUNT, but only consecutive crashes count, and a completed run clears them. */
     CLEARED,
-    /** Like CLEARED, and isolates a request after two crashes. */
+    /** Like CLEARED, and runs a request in isolation after two crashes. */
     ISOLATE
   }
 
@@ -67,7 +67,7 @@
   private static final class Upstream {
     final String name;
     final List<Run> runs = new ArrayList<>();
-    int start;
+    int incarnation;
     boolean down;
 
     Upstream(String name) {
@@ -75,7 +75,7 @@
     }
 
     String process() {
-      return name + "@" + start;
+      return name + "@" + incarnation;
     }
   }
 
@@ -83,7 +83,7 @@
   private static final class CallerRequest {
     final String fingerprint;
     final Optional<Duration> crashesUpstreamAfter;
-    final Duration work;
+    final Duration serviceTime;
     final Instance instance;
     final int callerRetriesLeft;
     int attempts;
@@ -92,12 +92,12 @@
     CallerRequest(
         String fingerprint,
         Optional<Duration> crashesUpstreamAfter,
-        Duration work,
+        Duration serviceTime,
         Instance instance,
         int callerRetriesLeft) {
       this.fingerprint = fingerprint;
       this.crashesUpstreamAfter = crashesUpstreamAfter;
-      this.work = work;
+      this.serviceTime = serviceTime;
       this.instance = instance;
       this.callerRetriesLeft = callerRetriesLeft;
     }
@@ -118,7 +118,7 @@
     return Duration.ofMillis(minimum + random.nextInt(maximum - minimum));
   }
 
-  /** Sends a request repeatedly that crashes its upstreams. */
+  /** Repeatedly sends a request that crashes each upstream that runs it. */
   void sendGuilty(String name, Duration pause, int times) {
     String fingerprint = RequestFingerprint.of("host", "/guilty", name, new byte[0]);
     for (int round = 0; round < times; round++) {
@@ -218,7 +218,7 @@
                   new CallerRequest(
                       request.fingerprint,
                       request.crashesUpstreamAfter,
-                      request.work,
+                      request.serviceTime,
                       next,
                       retriesLeft)));
     }
@@ -239,9 +239,9 @@
     if (isolated) {
       isolatedAt(request.instance).add(request.fingerprint);
     }
-    int start = upstream.start;
-    Duration runsFor = request.crashesUpstreamAfter.orElse(request.work);
-    fleet.after(runsFor, () -> finish(upstream, start, run));
+    int incarnation = upstream.incarnation;
+    Duration runsFor = request.crashesUpstreamAfter.orElse(request.serviceTime);
+    fleet.after(runsFor, () -> finish(upstream, incarnation, run));
   }
 
   private void countLateSend(CallerRequest request) {
@@ -277,8 +277,8 @@
             .count();
   }
 
-  private void finish(Upstream upstream, int start, Run run) {
-    if (upstream.start != start || !upstream.runs.contains(run)) {
+  private void finish(Upstream upstream, int incarnation, Run run) {
+    if (upstream.incarnation != incarnation || !upstream.runs.contains(run)) {
       return;
     }
     if (run.request().crashesUpstreamAfter.isPresent()) {
@@ -301,12 +301,12 @@
     restart(upstream);
   }
 
-  /** Stops a process of an upstream, which restarts as a new process. */
+  /** Crashes the process of an upstream, which fails its runs and restarts as a new process. */
   private void restart(Upstream upstream) {
     final List<Run> failed = List.copyOf(upstream.runs);
     final String process = upstream.process();
     upstream.runs.clear();
-    upstream.start++;
+    upstream.incarnation++;
     upstream.down = true;
     fleet.after(RESTART_TIME, () -> upstream.down = false);
     failed.forEach(run -> runFailed(run, process));
@@ -340,7 +340,7 @@
     return crashed;
   }
 
-  /** Returns the number of guilty requests sent over three seconds after their third crash. */
+  /** Returns the attempts of guilty requests sent over three seconds after their third crash. */
   int guiltySentLate() {
     return guiltySentLate;
   }
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/LimitFleetTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/LimitFleetTest.java
@@ -14,7 +14,7 @@
 
 /**
  * Guards against exceeding an advertised rate limit because only the instances that received it in
- * a response apply it.
+ * a response apply it, while the others continue to send without one.
  */
 public class LimitFleetTest {
   private static final Duration SECOND = Duration.ofSeconds(1);
@@ -56,7 +56,7 @@
     simulation.run(SECOND.multipliedBy(10));
     simulation.advertise(OptionalDouble.empty());
     simulation.run(SECOND.multipliedBy(2).plus(KNOWN_WITHIN));
-    assertEquals(simulation.limitedInstances(), 0, "still limited at instances");
+    assertEquals(simulation.limitedInstances(), 0, "instances that still know a limit");
   }
 
   @Test(dataProvider = "cases")
@@ -82,7 +82,7 @@
     simulation.sendOnlyFrom(instance -> instance.name().equals("entry-0-0"));
     simulation.advertise(OptionalDouble.empty());
     simulation.run(SharedRateLimit.ROTATION_INTERVAL.multipliedBy(perZone + 1));
-    assertEquals(simulation.limitedInstances(), 0, "still limited at instances");
+    assertEquals(simulation.limitedInstances(), 0, "instances that still know a limit");
   }
 
   @Test(dataProvider = "cases")
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/LimitSimulation.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/LimitSimulation.java
@@ -29,10 +29,10 @@
   private static final Duration RESPONSE_TIME = Duration.ofMillis(30);
   private static final Duration TICK = Duration.ofMillis(100);
 
-  /** The time from the first limited response of an instance until its requests are counted. */
+  /** The time from the first response with a limit to an instance until its requests count. */
   private static final Duration GRACE = Duration.ofMillis(500);
 
-  private static final Duration SPAN = Duration.ofSeconds(4);
+  private static final Duration COUNTED_SPAN = Duration.ofSeconds(4);
   private static final Duration WARM_UP = Duration.ofSeconds(6);
 
   private final StateExchangeFleet fleet;
@@ -44,10 +44,10 @@
   private Predicate<Instance> hasRequests = unused -> true;
   private int maximumCounted;
 
-  /** Starts senders at all instances, each with a minimum interval in milliseconds. */
-  LimitSimulation(StateExchangeFleet fleet, int pauseMillis) {
+  /** Starts senders at all instances, each of which sends at most once per interval. */
+  LimitSimulation(StateExchangeFleet fleet, int minimumIntervalMillis) {
     this.fleet = fleet;
-    this.interval = Duration.ofMillis(pauseMillis);
+    this.interval = Duration.ofMillis(minimumIntervalMillis);
     fleet.instances().forEach(instance -> new Sender(instance).start());
     fleet.run(WARM_UP);
   }
@@ -111,7 +111,7 @@
       return;
     }
     counted.add(now);
-    while (!counted.peek().isAfter(now.minus(SPAN))) {
+    while (!counted.peek().isAfter(now.minus(COUNTED_SPAN))) {
       counted.remove();
     }
     maximumCounted = Math.max(maximumCounted, counted.size());
@@ -132,7 +132,7 @@
     fleet.run(duration);
   }
 
-  /** Returns the maximum number of counted requests in any span. */
+  /** Returns the maximum number of requests within 4 s of instances that were sent the limit. */
   int maximumCounted() {
     return maximumCounted;
   }
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/ReportAggregatorTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/ReportAggregatorTest.java
@@ -27,13 +27,13 @@
 
   private final Instant now = Instant.parse("2026-12-02T12:00:00Z");
 
-  private static StateReport report(long orderedAt, long worse, int open) {
+  private static StateReport report(long orderedAt, long worse, int openMillis) {
     PairCounts failures = new PairCounts(worse, worse / 2);
     ComparedPairs pairs = new ComparedPairs(failures, PairCounts.NONE, PairCounts.NONE);
     VersionEvidence evidence =
         new VersionEvidence(
             "pool", "v2", StoreRevision.ofNumber(orderedAt), pairs, 2 * worse, false, 0);
-    return new StateReport(Map.of("i-1", open), List.of(evidence), Map.of(), Map.of());
+    return new StateReport(Map.of("i-1", openMillis), List.of(evidence), Map.of(), Map.of());
   }
 
   /** A report of a process, with a number of worse pairs that grows with each state. */
@@ -79,7 +79,7 @@
   }
 
   @Example
-  void testEvidenceOfEarlierOrderIsDropped() {
+  void testEvidenceOfEarlierRolloutOrderIsDropped() {
     ReportAggregator aggregator = ReportAggregator.create();
     aggregator.putInstance("a", report(7, 40, 0), now);
     aggregator.putInstance("b", report(9, 2, 0), now);
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/StateExchangeFleet.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/StateExchangeFleet.java
@@ -57,7 +57,7 @@
     final StateExchange system;
     final CrashLedger ledger = CrashLedger.create(time);
     final AdvertisedLimits limits = AdvertisedLimits.create(time);
-    final Map<String, Integer> open = new TreeMap<>();
+    final Map<String, Integer> openMillis = new TreeMap<>();
     final List<SessionObservation> unsent = new ArrayList<>();
     private final List<SessionObservation> reported = new ArrayList<>();
     final Set<Long> receivedSessions = new HashSet<>();
@@ -93,7 +93,7 @@
           .emitter(
               emitter -> {
                 after(timeout, () -> emitter.fail(new PeerUnavailableException(peer.name())));
-                if (reaches(target)) {
+                if (canReach(target)) {
                   after(
                       delay(),
                       () -> {
@@ -104,12 +104,12 @@
               });
     }
 
-    private boolean reaches(Instance target) {
-      String own = membership.self().zone();
+    private boolean canReach(Instance target) {
+      String ownZone = membership.self().zone();
       String targetZone = target.membership.self().zone();
       boolean partitioned =
-          !own.equals(targetZone)
-              && (partitionedZones.contains(own) || partitionedZones.contains(targetZone));
+          !ownZone.equals(targetZone)
+              && (partitionedZones.contains(ownZone) || partitionedZones.contains(targetZone));
       return !partitioned && !stopped.contains(name()) && !stopped.contains(target.name());
     }
 
@@ -121,7 +121,7 @@
           new VersionEvidence(
               SERVICE, VERSION, StoreRevision.ofNumber(1), pairs, worse, refuted, 0);
       List<VersionEvidence> entries = worse > 0 || refuted ? List.of(evidence) : List.of();
-      return new StateReport(Map.copyOf(open), entries, Map.of(), limits.observed());
+      return new StateReport(Map.copyOf(openMillis), entries, Map.of(), limits.observed());
     }
 
     @Override
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/StateExchangeTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/StateExchangeTest.java
@@ -26,18 +26,19 @@
  * time.
  *
  * <p>Direct exchange between 95 instances at an interval of 250 ms would take 35,720 messages per
- * second during a roll-out.
+ * second during a roll-out, without the pending prompts.
  */
 public class StateExchangeTest {
   private static final Duration SECOND = Duration.ofSeconds(1);
   private static final int SECONDS = 10;
 
   /**
-   * The delay at which all instances know a prompt that is pending for a second before its prefill.
+   * Short enough that all instances know of a prompt that waits for one second before its prefill
+   * starts.
    */
   private static final Duration KNOWN_WITHIN = Duration.ofMillis(900);
 
-  /** The ticks of an instance, its collector and a remote collector, and the network latency. */
+  /** A tick each of an instance, its collector and a remote collector, and the network latency. */
   private static final Duration COLLECTORS_KNOW_WITHIN = Duration.ofMillis(350);
 
   @DataProvider
@@ -53,15 +54,16 @@
     int betweenBefore = fleet.messagesBetweenZones();
     for (int step = 0; step < SECONDS * 20; step++) {
       for (Instance instance : fleet.instances()) {
-        instance.open.merge("i-1", 1, Integer::sum);
+        instance.openMillis.merge("i-1", 1, Integer::sum);
       }
       fleet.run(SECOND.dividedBy(20));
     }
     double sent = (double) (fleet.messages() - before) / SECONDS;
     double between = (double) (fleet.messagesBetweenZones() - betweenBefore) / SECONDS;
-    assertTrue(sent <= 11 * zones * perZone, "messages per second " + sent);
-    assertTrue(sent - between <= 101 * zones, "within zones " + (sent - between));
-    assertTrue(between <= 4 * zones * (zones - 1), "between zones " + between);
+    assertTrue(sent <= 11 * zones * perZone, "messages per second: " + sent);
+    assertTrue(
+        sent - between <= 101 * zones, "messages per second within zones: " + (sent - between));
+    assertTrue(between <= 4 * zones * (zones - 1), "messages per second between zones: " + between);
   }
 
   @Test(dataProvider = "sizes")
@@ -70,14 +72,16 @@
     fleet.run(SECOND);
     int before = fleet.messages();
     fleet.run(SECOND.multipliedBy(SECONDS));
-    assertTrue(fleet.messages() - before <= SECONDS * zones * perZone, "one per second");
+    assertTrue(
+        fleet.messages() - before <= SECONDS * zones * perZone,
+        "more than one message per instance and second");
   }
 
   @Test(dataProvider = "sizes")
   public void testPendingPromptsReachAllInstances(int zones, int perZone) {
     StateExchangeFleet fleet = StateExchangeFleet.of(zones, perZone, 2);
     fleet.run(SECOND);
-    fleet.instances().forEach(instance -> instance.open.put("i-1", 10));
+    fleet.instances().forEach(instance -> instance.openMillis.put("i-1", 10));
     fleet.run(KNOWN_WITHIN);
     for (Instance instance : fleet.instances()) {
       int others = 10 * (zones * perZone - 1);
@@ -212,7 +216,7 @@
   }
 
   @DataProvider
-  Object[][] unsoundAccounts() {
+  Object[][] invalidReports() {
     PrefillTimeModel invalidSpeed = new PrefillTimeModel(Double.NaN, -1);
     return new Object[][] {
       {evidence(-1)},
@@ -229,7 +233,7 @@
     };
   }
 
-  @Test(dataProvider = "unsoundAccounts")
+  @Test(dataProvider = "invalidReports")
   public void testInvalidReportIsRejectedWithoutEffect(StateReport invalid) {
     StateExchangeFleet fleet = StateExchangeFleet.of(1, 3, 9);
     fleet.run(SECOND);
@@ -243,7 +247,7 @@
         collector.system.handle(
             other.membership.self(),
             new PeerMessage.InstanceAccount(invalid, List.of(), 0, CrashUpdate.NONE, 0));
-    assertTrue(response instanceof PeerMessage.Failed, "answer " + response);
+    assertTrue(response instanceof PeerMessage.Failed, "response " + response);
     fleet.run(SECOND);
     assertEquals(other.others.openMillis(), Map.of());
     assertEquals(other.allWorse(), 0);
