--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/PoolRun.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/PoolRun.java
@@ -215,7 +215,7 @@
     if (isMeasured) {
       result.measuredRequests++;
     }
-    entry.retries().recordFirstAttempt();
+    entry.retries().recordTry();
     new SimulatedRequest(entry, request, isMeasured, time.nowMillis()).next();
   }
 
@@ -323,13 +323,14 @@
       row.release();
       entry.queue().recordRelease(time.instant());
       if (succeeded) {
-        row.succeeded(time.instant());
+        row.recordSuccess(time.instant());
         entry.queue().serve(time.instant());
         return;
       }
-      row.failed(time.instant());
+      row.recordFailure(time.instant());
       excludedEngines.add(name);
-      boolean retries = excludedEngines.size() < MAXIMUM_ATTEMPTS && entry.retries().takeRetry();
+      boolean retries =
+          excludedEngines.size() < MAXIMUM_ATTEMPTS && entry.retries().tryAcquireRetry();
       if (retries) {
         next();
       } else {
--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/RateBench.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/RateBench.java
@@ -51,7 +51,7 @@
     disturbances.put(
         "cut in 8",
         fleet -> {
-          fleet.cut(8);
+          fleet.partition(8);
           fleet.run(DISCOVERY_TIME);
         });
     disturbances.put("half just started", fleet -> fleet.restart(0.5));
@@ -108,12 +108,12 @@
   private static void simulate(RateFleet fleet, Consumer<RateFleet> disturbance, Duration span) {
     fleet.run(DISCOVERY_TIME);
     disturbance.accept(fleet);
-    fleet.limit(UPSTREAMS);
+    fleet.replaceUpstreams(UPSTREAMS);
     fleet.run(span);
   }
 
   private static void printRow(String rowStart, List<RateFleet> finishedFleets) {
-    int maximumInSpan = finishedFleets.stream().mapToInt(RateFleet::worst).max().orElse(0);
+    int maximumInSpan = finishedFleets.stream().mapToInt(RateFleet::maximumInSpan).max().orElse(0);
     double meanUsedShare =
         finishedFleets.stream().mapToDouble(RateFleet::usedShare).average().orElse(0);
     long latestFirstMillis =
--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/RateFleet.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/RateFleet.java
@@ -298,7 +298,7 @@
   }
 
   /** Assigns the instances to network partitions at random. */
-  public void cut(int partitions) {
+  public void partition(int partitions) {
     for (Instance instance : instances.values()) {
       int previousPartition = instance.partition;
       instance.partition = random.nextInt(partitions);
@@ -316,12 +316,12 @@
   }
 
   /** Pauses a random share of the instances until the next call. */
-  public void freeze(double share) {
+  public void pause(double share) {
     instances.values().forEach(instance -> instance.frozen = random.nextDouble() < share);
   }
 
   /** Replaces the limited upstreams of the first zone and resets all measurements. */
-  public void limit(int count) {
+  public void replaceUpstreams(int count) {
     upstreams.clear();
     for (int number = 0; number < count; number++) {
       upstreams.add("i-" + random.nextInt() + "-" + number);
@@ -343,7 +343,7 @@
   }
 
   /** Returns the maximum number of counted requests to an upstream in any span of its limit. */
-  public int worst() {
+  public int maximumInSpan() {
     return maximumInSpan;
   }
 
--- a/org.oatlug.entry/src/org/oatlug/entry/GatewayInstance.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/GatewayInstance.java
@@ -200,7 +200,7 @@
             () -> configuration.hasReadAll() && configuration.isInSync(),
             () ->
                 !tables.hasRunningRollout()
-                    || stateExchange.hasInitialExchange()
+                    || stateExchange.hasCompletedInitialExchange()
                     || stateExchange.hasSessionRecords() && rollouts.knowsOrderAges());
     server = GatewayServer.create(components, random, readinessGate::isOpen);
     PauseDetector pause = PauseDetector.create(clock, components::handleProcessPause);
@@ -268,7 +268,7 @@
 
   /** Starts the waiting requests once the readiness gate opens. */
   private void openGateWhenReady() {
-    if (readinessGate.opens()) {
+    if (readinessGate.tryOpen()) {
       servingAt = Optional.of(clock.instant());
       tables.completeInitialRead();
       server.startWaitingRequests();
--- a/org.oatlug.test/tst/org/oatlug/internal/crash/CrashLedgerTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/crash/CrashLedgerTest.java
@@ -144,8 +144,8 @@
     CrashLedger peer = CrashLedger.create(time);
     replicate(ledger, peer);
     assertEquals(peer.verdict(CRASHING), Verdict.REFUSED);
-    assertTrue(peer.forget(CRASHING));
-    assertFalse(peer.forget(CRASHING), "already cleared");
+    assertTrue(peer.clear(CRASHING));
+    assertFalse(peer.clear(CRASHING), "already cleared");
     replicate(peer, ledger);
     assertEquals(ledger.verdict(CRASHING), Verdict.CLEAR);
   }
--- a/org.oatlug.test/tst/org/oatlug/internal/engine/PrefillEstimatesTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/engine/PrefillEstimatesTest.java
@@ -49,7 +49,8 @@
           new FirstTokenForecast(
               0, estimates.prefillModelOf(model).millisFor(tokens), tokens, true);
       now = now.plusMillis(200);
-      estimates.answered(UPSTREAM, model, forecast, Duration.ofMillis(Math.round(millis)), now);
+      estimates.recordTimeToFirstToken(
+          UPSTREAM, model, forecast, Duration.ofMillis(Math.round(millis)), now);
     }
   }
 
@@ -93,7 +94,7 @@
     for (int answer = 0; answer < 40; answer++) {
       double own = estimates.prefillModelOf("m").millisFor(1000 + answer * 100);
       FirstTokenForecast forecast = new FirstTokenForecast(3000, own, 1000 + answer * 100, true);
-      estimates.answered(UPSTREAM, "m", forecast, Duration.ofMillis(500), now);
+      estimates.recordTimeToFirstToken(UPSTREAM, "m", forecast, Duration.ofMillis(500), now);
     }
     assertTrue(
         estimates.prefillModelOf("m").millisFor(20_000) > 20,
@@ -126,7 +127,7 @@
     PrefillEstimates estimates = PrefillEstimates.create();
     FirstTokenForecast forecast = new FirstTokenForecast(0, 200, 4000, false);
     for (int answer = 0; answer < 5; answer++) {
-      estimates.answered(UPSTREAM, "m", forecast, Duration.ofMillis(1200), now);
+      estimates.recordTimeToFirstToken(UPSTREAM, "m", forecast, Duration.ofMillis(1200), now);
     }
     assertTrue(estimates.slownessOf(UPSTREAM, now) > 2);
     assertTrue(estimates.slownessOf(UPSTREAM, now) <= 8.01);
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayDecisionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayDecisionTest.java
@@ -183,7 +183,7 @@
     UpstreamSelection selection = selection();
     return selection
         .choose(criteria(preference, excluded), now)
-        .map(UpstreamSelection.Chosen::name);
+        .map(UpstreamSelection.CostedUpstream::name);
   }
 
   @Test
@@ -200,12 +200,12 @@
   public void testUpstreamWithoutFreeConnectionIsNotSelected() {
     configuration(1, "k");
     upstream("i-1", "here", "v1", false);
-    tables.loads().report("i-1", 40, 60, false);
+    tables.upstreamTable().report("i-1", 40, 60, false);
     assertEquals(choose(Optional.empty(), Set.of()), Optional.empty());
     upstream("i-2", "there", "v1", false);
     assertEquals(choose(Optional.empty(), Set.of()), Optional.of("i-2"));
     for (int open = 0; open < 100; open++) {
-      tables.loads().row("i-2").reserve();
+      tables.upstreamTable().row("i-2").reserve();
     }
     assertEquals(choose(Optional.empty(), Set.of()), Optional.empty());
   }
@@ -272,7 +272,7 @@
   public void testOtherZoneIsSelectedWhenLocalUpstreamIsLoaded() {
     upstream("i-1", "here", "v1", false);
     upstream("i-2", "there", "v1", false);
-    tables.loads().report("i-1", 8, 30, false);
+    tables.upstreamTable().report("i-1", 8, 30, false);
     assertEquals(choose(Optional.empty(), Set.of()), Optional.of("i-2"));
   }
 
@@ -281,11 +281,11 @@
     upstream("i-1", "here", "v1", false);
     upstream("i-2", "here", "v1", false);
     for (int response = 0; response < 10; response++) {
-      tables.loads().row("i-1").failed(now);
-      tables.loads().row("i-1").succeeded(now);
-      tables.loads().row("i-2").succeeded(now);
+      tables.upstreamTable().row("i-1").recordFailure(now);
+      tables.upstreamTable().row("i-1").recordSuccess(now);
+      tables.upstreamTable().row("i-2").recordSuccess(now);
     }
-    tables.loads().report("i-2", 6, 0, false);
+    tables.upstreamTable().report("i-2", 6, 0, false);
     assertEquals(choose(Optional.empty(), Set.of()), Optional.of("i-2"));
     now = now.plusSeconds(30);
     assertEquals(
@@ -325,7 +325,7 @@
     upstream("i-1", "here", "v1", false);
     upstream("i-2", "here", "v1", false);
     Generation generation = generation(50_000, 10, 7, 8);
-    UpstreamSelection.recordPrompt(tables.loads().row("i-2"), "m", generation(1, 1, 7));
+    UpstreamSelection.recordPrompt(tables.upstreamTable().row("i-2"), "m", generation(1, 1, 7));
     UpstreamSelection selection = selection();
     UpstreamSelection.Criteria criteria =
         new UpstreamSelection.Criteria(
@@ -386,10 +386,10 @@
       var chosen = selection.choose(criteria(Optional.empty(), Set.of()), now).orElseThrow();
       if (refusing.contains(chosen.name())) {
         refusals++;
-        chosen.row().refused(now);
-        assertFalse(chosen.row().ejected(now));
+        chosen.row().recordRefusal(now);
+        assertFalse(chosen.row().isEjected(now));
       } else {
-        chosen.row().succeeded(now);
+        chosen.row().recordSuccess(now);
       }
     }
     assertTrue(refusals < 40, refusals + " of 400 requests refused");
@@ -526,9 +526,9 @@
     for (int instance = 0; instance < instances; instance++) {
       RetryBudgets budgets = RetryBudgets.within(bounds, () -> 7);
       for (int request = 0; request < requestsPerInstance; request++) {
-        budgets.of("pool").recordFirstAttempt();
+        budgets.of("pool").recordTry();
         for (int attempt = 0; attempt < 3; attempt++) {
-          retries += budgets.of("pool").takeRetry() ? 1 : 0;
+          retries += budgets.of("pool").tryAcquireRetry() ? 1 : 0;
         }
       }
     }
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayServerFixture.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayServerFixture.java
@@ -104,7 +104,7 @@
 
   /** Makes the upstream ask to back off for the given time. */
   void askToBackOff(String name, Duration time) {
-    tables.row(name).backOffUntil(now().plus(time));
+    tables.row(name).extendBackOff(now().plus(time));
   }
 
   private static RoutingConfiguration configuration() {
@@ -179,10 +179,10 @@
     }
 
     @Override
-    public void sent(String service, String version, RequestHead head) {}
+    public void recordSent(String service, String version, RequestHead head) {}
 
     @Override
-    public void answered(Answer answer) {}
+    public void recordAnswer(Answer answer) {}
 
     @Override
     public void recordEventInterval(EventInterval interval) {}
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/NewStartTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/NewStartTest.java
@@ -65,16 +65,16 @@
     row.rememberPrefix(7);
     row.markLeaving();
     row.reserve();
-    tables.loads().report(NAME, 8, 30, false);
+    tables.upstreamTable().report(NAME, 8, 30, false);
     for (int failure = 0; failure < 3; failure++) {
-      row.failed(now);
+      row.recordFailure(now);
     }
   }
 
   private void assertInitialState(UpstreamRow row) {
     assertFalse(row.hasPrefix(7), "cached prefixes");
-    assertFalse(row.leaving(), "leaving");
-    assertFalse(row.ejected(now), "ejected");
+    assertFalse(row.isLeaving(), "leaving");
+    assertFalse(row.isEjected(now), "ejected");
     assertEquals(row.failureShare(now), 0.0);
     assertEquals(row.inFlight(), 0);
     assertEquals(row.expectedLoad(), 0);
@@ -135,9 +135,9 @@
     UpstreamRow earlier = rowAfter(record().startedAt(1000));
     earlier.reserve();
     final UpstreamRow later = rowAfter(record().startedAt(2000));
-    tables.loads().report(earlier, 8, 30, true);
+    tables.upstreamTable().report(earlier, 8, 30, true);
     earlier.release();
-    earlier.failed(now);
+    earlier.recordFailure(now);
     assertInitialState(later);
   }
 
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/ReadinessGateTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/ReadinessGateTest.java
@@ -25,13 +25,13 @@
     final ReadinessGate gate = gate();
     ordersRead = true;
     sessionsKnown = true;
-    assertFalse(gate.opens());
+    assertFalse(gate.tryOpen());
     configured = true;
     sessionsKnown = false;
-    assertFalse(gate.opens());
+    assertFalse(gate.tryOpen());
     sessionsKnown = true;
-    assertTrue(gate.opens());
-    assertFalse(gate.opens(), "the gate opens only once");
+    assertTrue(gate.tryOpen());
+    assertFalse(gate.tryOpen(), "the gate opens only once");
     sessionsKnown = false;
     assertTrue(gate.isOpen(), "the gate stays open");
   }
@@ -41,10 +41,10 @@
   public void testGateOpensAfterMaximumWaitWithoutOrders() {
     ReadinessGate gate = gate();
     now = now.plusSeconds(60);
-    assertFalse(gate.opens(), "an instance cannot serve without a configuration");
+    assertFalse(gate.tryOpen(), "an instance cannot serve without a configuration");
     configured = true;
-    assertFalse(gate.opens());
+    assertFalse(gate.tryOpen());
     now = now.plusSeconds(4);
-    assertTrue(gate.opens());
+    assertTrue(gate.tryOpen());
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/RetryBudgetFleetTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/RetryBudgetFleetTest.java
@@ -41,9 +41,9 @@
     int granted = 0;
     for (int request = 0; request < requests; request++) {
       RetryBudgets budgets = fleet.get(request % fleet.size());
-      budgets.of(SERVICE).recordFirstAttempt();
+      budgets.of(SERVICE).recordTry();
       for (int attempt = 1; attempt < MAXIMUM_ATTEMPTS; attempt++) {
-        granted += budgets.of(SERVICE).takeRetry() ? 1 : 0;
+        granted += budgets.of(SERVICE).tryAcquireRetry() ? 1 : 0;
       }
     }
     return granted;
@@ -51,7 +51,7 @@
 
   private static void recordFirstAttempts(List<RetryBudgets> fleet) {
     for (int round = 0; round < 200; round++) {
-      fleet.forEach(budgets -> budgets.of(SERVICE).recordFirstAttempt());
+      fleet.forEach(budgets -> budgets.of(SERVICE).recordTry());
     }
   }
 
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/StreamRelayTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/StreamRelayTest.java
@@ -39,7 +39,8 @@
     int position = 0;
     while (position < text.length()) {
       int length = Math.min(text.length() - position, 1 + random.nextInt(40));
-      output.appendBuffer(relay.take(Buffer.buffer(text.substring(position, position + length))));
+      output.appendBuffer(
+          relay.newEvents(Buffer.buffer(text.substring(position, position + length))));
       position += length;
     }
     return output;
@@ -85,7 +86,7 @@
   void testPartialEventIsDetected(@ForAll @IntRange(min = 1, max = 400) int length) {
     StreamRelay relay = StreamRelay.after(OptionalLong.empty());
     String text = events(0, false).substring(0, length);
-    relay.take(Buffer.buffer(text));
+    relay.newEvents(Buffer.buffer(text));
     assertEquals(relay.hasPartialEvent(), !text.endsWith("\n\n"));
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/LimitFleetTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/LimitFleetTest.java
@@ -108,7 +108,7 @@
 
   private static void assertKnown(StateExchangeFleet fleet, double rate) {
     for (StateExchangeFleet.Instance instance : fleet.instances()) {
-      assertEquals(instance.limits.of("i-1@1"), OptionalDouble.of(rate), instance.name());
+      assertEquals(instance.limits.rateOf("i-1@1"), OptionalDouble.of(rate), instance.name());
     }
   }
 
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/LimitSimulation.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/LimitSimulation.java
@@ -82,7 +82,7 @@
         return;
       }
       Instant now = fleet.clock().instant();
-      Optional<AdvertisedLimit> known = instance.limits.find(UPSTREAM);
+      Optional<AdvertisedLimit> known = instance.limits.limitOf(UPSTREAM);
       if (known.isPresent()) {
         Target target = Target.advertised(UPSTREAM, "zone-0", known.get());
         if (!rates.allows(target, now)) {
@@ -146,7 +146,7 @@
   /** Returns the number of instances that know a limit of the upstream. */
   long limitedInstances() {
     return fleet.instances().stream()
-        .filter(instance -> instance.limits.of(UPSTREAM).isPresent())
+        .filter(instance -> instance.limits.rateOf(UPSTREAM).isPresent())
         .count();
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/ReportAggregatorTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/ReportAggregatorTest.java
@@ -74,7 +74,7 @@
     Instant later = now.plus(PrefillBacklog.VALIDITY).plusMillis(1);
     assertEquals(aggregator.sumExcept("a", later).openMillis(), Map.of());
     assertEquals(aggregator.sumExcept("a", later).evidence().size(), 1, "evidence is retained");
-    Instant muchLater = now.plus(ReportAggregator.EVIDENCE_VALID).plusMillis(1);
+    Instant muchLater = now.plus(ReportAggregator.EVIDENCE_VALIDITY).plusMillis(1);
     assertEquals(aggregator.sumExcept("a", muchLater).evidence(), List.of());
   }
 
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/StateExchangeFleet.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/StateExchangeFleet.java
@@ -114,7 +114,7 @@
     }
 
     @Override
-    public StateReport own() {
+    public StateReport localReport() {
       PairCounts failures = new PairCounts(worse, 0);
       ComparedPairs pairs = new ComparedPairs(failures, PairCounts.NONE, PairCounts.NONE);
       VersionEvidence evidence =
@@ -156,7 +156,7 @@
 
     /** Returns the worse pairs of the version over all instances, as known to this one. */
     long allWorse() {
-      return own().worsePairs() + others.worsePairs();
+      return localReport().worsePairs() + others.worsePairs();
     }
   }
 
--- a/org.oatlug.test/tst/org/oatlug/internal/limit/AdvertisedLimitsTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/limit/AdvertisedLimitsTest.java
@@ -26,9 +26,9 @@
     time.run(SECOND);
     limits.advertised("late", 2);
     limits.notAdvertised("late", written);
-    assertEquals(limits.of("late"), OptionalDouble.of(2));
+    assertEquals(limits.rateOf("late"), OptionalDouble.of(2));
     limits.notAdvertised("late", time.instant().plusMillis(1));
-    assertEquals(limits.of("late"), OptionalDouble.empty());
+    assertEquals(limits.rateOf("late"), OptionalDouble.empty());
   }
 
   @Test
@@ -37,17 +37,17 @@
     time.run(SECOND);
     limits.notAdvertised(UPSTREAM, time.instant());
     limits.applyReported(Map.of(UPSTREAM, new AdvertisedLimit(2, 900)));
-    assertEquals(limits.of(UPSTREAM), OptionalDouble.empty());
+    assertEquals(limits.rateOf(UPSTREAM), OptionalDouble.empty());
   }
 
   @Test
   public void testStricterOfSimultaneousReportsIsValid() {
     limits.advertised("tie", 2);
     limits.applyReported(Map.of("tie", new AdvertisedLimit(1, 0)));
-    assertEquals(limits.of("tie"), OptionalDouble.of(1));
+    assertEquals(limits.rateOf("tie"), OptionalDouble.of(1));
     limits.applyReported(Map.of("tie", new AdvertisedLimit(3, 0)));
     limits.applyReported(Map.of("tie", new AdvertisedLimit(AdvertisedLimit.NONE, 0)));
-    assertEquals(limits.of("tie"), OptionalDouble.of(1));
+    assertEquals(limits.rateOf("tie"), OptionalDouble.of(1));
   }
 
   @Test
@@ -60,7 +60,7 @@
   public void testLimitStaysValidAfterItIsNoLongerReported() {
     limits.advertised("quiet", 2);
     time.run(AdvertisedLimits.REPORTED_FOR.plus(SECOND));
-    assertEquals(limits.of("quiet"), OptionalDouble.of(2));
+    assertEquals(limits.rateOf("quiet"), OptionalDouble.of(2));
     assertTrue(!limits.observed().containsKey("quiet"));
   }
 
--- a/org.oatlug.test/tst/org/oatlug/internal/limit/DispatchQueueTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/limit/DispatchQueueTest.java
@@ -122,7 +122,7 @@
             time, loop::yield, request -> !request.hasTimedOut() && attempt(request));
     Outcome queued = replay(queue::enqueue);
     assertTrue(queued.inTime >= 50, "in time " + queued.inTime + " served " + queued.served);
-    assertEquals(queue.waiting(), 0);
+    assertEquals(queue.size(), 0);
   }
 
   /** Holds actions until the test runs the next iteration. */
@@ -165,7 +165,7 @@
     time.run(Duration.ofMillis(200));
     iterations.next();
     assertEquals(started.get(2), "request-20");
-    assertEquals(queue.waiting(), 17);
+    assertEquals(queue.size(), 17);
   }
 
   @Test
@@ -184,6 +184,6 @@
       queue.enqueue("request");
     }
     assertEquals(started.size(), 1);
-    assertEquals(queue.waiting(), 5);
+    assertEquals(queue.size(), 5);
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/internal/limit/SharedRateLimitTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/limit/SharedRateLimitTest.java
@@ -51,22 +51,23 @@
         RateFleet.ofCold(RateFleet.RANKED_COLD, COLD_BOUND_PER_SECOND, zones, perZone, fleetSeed);
     fleet.run(SETTLING_TIME);
     for (int round = 0; round < 3; round++) {
-      fleet.limit(UPSTREAMS);
+      fleet.replaceUpstreams(UPSTREAMS);
       for (int disturbance = 0; disturbance < 3; disturbance++) {
         disturb(fleet, random, zones * perZone);
         fleet.run(COLD_PERIOD.dividedBy(1 + random.nextInt(4)));
       }
-      assertTrue(fleet.worst() <= COLD_BOUND_PER_SECOND, "in a second " + fleet.worst());
+      assertTrue(
+          fleet.maximumInSpan() <= COLD_BOUND_PER_SECOND, "in a second " + fleet.maximumInSpan());
     }
   }
 
   private static void disturb(RateFleet fleet, Random random, int instances) {
     switch (random.nextInt(5)) {
-      case 0 -> fleet.cut(1 + random.nextInt(8));
+      case 0 -> fleet.partition(1 + random.nextInt(8));
       case 1 -> fleet.restart(random.nextDouble());
-      case 2 -> fleet.freeze(random.nextDouble());
+      case 2 -> fleet.pause(random.nextDouble());
       case 3 -> fleet.add(instances);
-      default -> fleet.cut(1);
+      default -> fleet.partition(1);
     }
   }
 
@@ -83,13 +84,14 @@
         RateFleet.ofLimited(RateFleet.RANKED_LIMITED, rate, size[0], size[1], fleetSeed);
     fleet.run(SETTLING_TIME);
     for (int round = 0; round < 2; round++) {
-      fleet.limit(UPSTREAMS);
+      fleet.replaceUpstreams(UPSTREAMS);
       for (int disturbance = 0; disturbance < 4; disturbance++) {
         disturb(fleet, random, size[0] * size[1]);
         fleet.run(Duration.ofMillis(500 + random.nextInt(4000)));
       }
       double allowed = 6 * rate + 5;
-      assertTrue(fleet.worst() <= allowed, "in 4 s " + fleet.worst() + " of " + allowed);
+      assertTrue(
+          fleet.maximumInSpan() <= allowed, "in 4 s " + fleet.maximumInSpan() + " of " + allowed);
     }
   }
 
@@ -100,12 +102,12 @@
     RateFleet fleet =
         RateFleet.ofLimited(RateFleet.RANKED_LIMITED, 20, size[0], size[1], fleetSeed);
     fleet.run(SETTLING_TIME);
-    fleet.limit(UPSTREAMS);
+    fleet.replaceUpstreams(UPSTREAMS);
     for (int second = 0; second < 12; second++) {
       fleet.advertise(20 * random.nextDouble());
       fleet.run(Duration.ofSeconds(1));
     }
-    assertTrue(fleet.worst() <= 6 * 20 + 5, "in 4 s " + fleet.worst());
+    assertTrue(fleet.maximumInSpan() <= 6 * 20 + 5, "in 4 s " + fleet.maximumInSpan());
   }
 
   /** An upstream that limits its rate receives the full rate that it accepts. */
@@ -116,7 +118,7 @@
         RateFleet fleet = RateFleet.ofLimited(RateFleet.RANKED_LIMITED, rate, size[0], size[1], 1);
         fleet.run(SETTLING_TIME);
         fleet.stepBy(Duration.ofMillis(4));
-        fleet.limit(UPSTREAMS);
+        fleet.replaceUpstreams(UPSTREAMS);
         fleet.run(Duration.ofSeconds(20));
         String what = size[0] * size[1] + " instances, limit " + rate + ", used ";
         assertTrue(fleet.usedShare() > 0.9, what + fleet.usedShare());
@@ -198,7 +200,7 @@
   void testStableFleetUsesHalfOfColdBound() {
     RateFleet fleet = RateFleet.ofCold(RateFleet.RANKED_COLD, COLD_BOUND_PER_SECOND, 3, 20, 1);
     fleet.run(SETTLING_TIME);
-    fleet.limit(UPSTREAMS);
+    fleet.replaceUpstreams(UPSTREAMS);
     fleet.run(COLD_PERIOD);
     assertTrue(fleet.usedShare() > 0.45, "used " + fleet.usedShare());
     assertTrue(fleet.firstMillis().orElseThrow() < 100);
--- a/org.oatlug.test/tst/org/oatlug/test/AnswerProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/AnswerProcessTest.java
@@ -84,7 +84,7 @@
   @Test(dataProvider = "engineFaultTable")
   public void testNotRunIsTrueForChats(String faults, boolean mayHaveRun) throws IOException {
     setEngineFaults(faults);
-    Http.Answer answer =
+    Http.Response answer =
         Http.send(cluster.chat(0, "small", false, 4).header("Oatlug-Deadline-Ms", "3000"));
     assertFalse(answer.status() == 200, answer.body());
     String id = answer.json().path("requestId").asText();
@@ -108,7 +108,7 @@
   public void testNotRunIsTrueForOrders(String faults, boolean mayHaveRun) throws IOException {
     String key = "fault-" + faults;
     setServiceFaults(faults);
-    Http.Answer answer = Http.send(cluster.order(1, key));
+    Http.Response answer = Http.send(cluster.order(1, key));
     assertFalse(answer.status() == 200, answer.body());
     assertEquals(answer.notRun(), mayHaveRun ? "unknown" : "yes", answer.body());
     assertEquals(cluster.runs().getOrDefault(key, 0), Integer.valueOf(mayHaveRun ? 1 : 0));
@@ -118,7 +118,7 @@
   @Test
   public void testCutStreamEndsWithTypedEvent() throws IOException {
     setEngineFaults("{\"cutAfter\":3}");
-    Http.Answer answer = Http.send(cluster.chat(0, "small", true, 10));
+    Http.Response answer = Http.send(cluster.chat(0, "small", true, 10));
     assertTrue(answer.body().contains("event: error"), answer.body());
     assertTrue(answer.body().contains("\"reason\":\"upstream-failed\""), answer.body());
     assertFalse(answer.body().contains("[DONE]"), answer.body());
@@ -131,7 +131,7 @@
   public void testAnswerOfAnotherRequestIsNotPassedOn() throws IOException {
     cluster.faults(cluster.enginePorts.get(0), "{\"wrongRequest\":-1}");
     for (int number = 0; number < 10; number++) {
-      Http.Answer answer = Http.send(cluster.chat(0, "small", false, 2));
+      Http.Response answer = Http.send(cluster.chat(0, "small", false, 2));
       assertEquals(answer.status(), 200, answer.body());
       assertEquals(answer.json().path("id").asText(), answer.header("Oatlug-Request-Id"));
     }
@@ -140,13 +140,13 @@
   /** Concurrent callers each get their own complete response. */
   @Test
   public void testManyCallersEachGetTheirOwnAnswer() {
-    List<CompletableFuture<Http.Answer>> answers = new ArrayList<>();
+    List<CompletableFuture<Http.Response>> answers = new ArrayList<>();
     for (int number = 0; number < 60; number++) {
       boolean stream = number % 2 == 0;
       answers.add(Http.sendAsync(cluster.chat(number % 2, "small", stream, number + 1)));
     }
     for (int number = 0; number < answers.size(); number++) {
-      Http.Answer answer = answers.get(number).join();
+      Http.Response answer = answers.get(number).join();
       String id = answer.header("Oatlug-Request-Id");
       assertTrue(answer.body().contains("t" + (number + 1) + " "), answer.body());
       assertFalse(answer.body().contains("t" + (number + 2) + " "), answer.body());
@@ -219,7 +219,7 @@
   }
 
   private List<String> modelsOf(String key) throws IOException {
-    Http.Answer answer =
+    Http.Response answer =
         Http.send(
             Http.to(cluster.callerPort(0), "/v1/models").header("Authorization", "Bearer " + key));
     List<String> names = new ArrayList<>();
@@ -262,7 +262,7 @@
     if (!key.isEmpty()) {
       request.header("Authorization", key);
     }
-    Http.Answer answer = Http.send(request);
+    Http.Response answer = Http.send(request);
     assertEquals(answer.header("Content-Type"), "application/problem+json", answer.body());
     assertEquals(answer.reason(), reason, answer.body());
     assertEquals(answer.notRun(), "yes");
@@ -273,10 +273,10 @@
   /** Invalid headers get a typed refusal. */
   @Test
   public void testInvalidHeadersGetTypedRefusal() throws IOException {
-    Http.Answer deadline =
+    Http.Response deadline =
         Http.send(cluster.chat(0, "small", false, 1).header("Oatlug-Deadline-Ms", "soon"));
     assertEquals(deadline.reason(), "header-invalid", deadline.body());
-    Http.Answer session =
+    Http.Response session =
         Http.send(cluster.chat(0, "small", false, 1).header("Oatlug-Session", "k1.a.b"));
     assertEquals(session.reason(), "session-invalid", session.body());
   }
--- a/org.oatlug.test/tst/org/oatlug/test/AtMostOnceProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/AtMostOnceProcessTest.java
@@ -39,13 +39,13 @@
   /** Orders with the same keys are sent to all instances concurrently. */
   @Test
   public void testRacingCallersRunOnce() throws IOException {
-    List<CompletableFuture<Http.Answer>> answers = new ArrayList<>();
+    List<CompletableFuture<Http.Response>> answers = new ArrayList<>();
     for (int round = 0; round < 20; round++) {
       for (int index = 0; index < INSTANCES; index++) {
         answers.add(Http.sendAsync(cluster.order(index, "race-" + round)));
       }
     }
-    for (CompletableFuture<Http.Answer> answer : answers) {
+    for (CompletableFuture<Http.Response> answer : answers) {
       int status = answer.join().status();
       assertTrue(status == 200 || status == 409, answer.join().body());
     }
@@ -62,7 +62,7 @@
     for (int port : cluster.servicePorts) {
       cluster.faults(port, "{\"cutAfterRun\":1}");
     }
-    Http.Answer first = Http.send(cluster.order(0, "cut-1"));
+    Http.Response first = Http.send(cluster.order(0, "cut-1"));
     assertEquals(first.notRun(), "unknown", first.body());
     for (int index = 0; index < INSTANCES; index++) {
       int instance = index;
@@ -83,7 +83,7 @@
   @Test
   public void testUnavailablePlatformRefusesAndDoesNotRun() throws IOException {
     cluster.faults(cluster.platformPort, "{\"down\":-1}");
-    Http.Answer refused = Http.send(cluster.order(0, "away-1"));
+    Http.Response refused = Http.send(cluster.order(0, "away-1"));
     assertEquals(refused.reason(), "ledger-unavailable", refused.body());
     assertEquals(refused.notRun(), "yes");
     assertTrue(!refused.header("Retry-After").isEmpty());
@@ -111,7 +111,7 @@
   public void testKilledAndFrozenInstancesRunOnce() throws IOException {
     for (int round = 0; round < 6; round++) {
       int target = round % INSTANCES;
-      List<CompletableFuture<Http.Answer>> answers = new ArrayList<>();
+      List<CompletableFuture<Http.Response>> answers = new ArrayList<>();
       for (int index = 0; index < INSTANCES; index++) {
         for (int number = 0; number < 5; number++) {
           answers.add(Http.sendAsync(cluster.order(index, "kill-" + round + "-" + number)));
@@ -148,7 +148,7 @@
     }
   }
 
-  private static boolean hasFinalOutcome(Http.Answer answer) {
+  private static boolean hasFinalOutcome(Http.Response answer) {
     return answer.status() == 200 || answer.reason().equals("may-have-run");
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/test/BillingProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/BillingProcessTest.java
@@ -42,7 +42,7 @@
    */
   @Test
   public void testRequestsOfKilledInstanceAreBilledOnce() throws IOException {
-    List<CompletableFuture<Http.Answer>> answers = new ArrayList<>();
+    List<CompletableFuture<Http.Response>> answers = new ArrayList<>();
     int before = cluster.records().size();
     for (int number = 0; number < 12; number++) {
       answers.add(Http.sendAsync(cluster.chat(0, "small", true, 150 + 10 * number)));
@@ -62,7 +62,7 @@
   @Test(dependsOnMethods = "testRequestsOfKilledInstanceAreBilledOnce")
   public void testSuspendedInstanceAndItsWitnessBillOnce() throws IOException {
     int before = cluster.records().size();
-    List<CompletableFuture<Http.Answer>> answers = new ArrayList<>();
+    List<CompletableFuture<Http.Response>> answers = new ArrayList<>();
     for (int number = 0; number < 8; number++) {
       answers.add(Http.sendAsync(cluster.chat(0, "small", true, 60)));
     }
@@ -91,7 +91,7 @@
   public void testBillsAreQueuedWhilePlatformIsUnavailable() throws IOException {
     cluster.faults(cluster.platformPort, "{\"down\":-1}");
     for (int number = 0; number < 10; number++) {
-      Http.Answer answer = Http.send(cluster.chat(number % 3, "small", false, 3));
+      Http.Response answer = Http.send(cluster.chat(number % 3, "small", false, 3));
       assertEquals(answer.status(), 200, answer.body());
     }
     cluster.faults(cluster.platformPort, "{\"loseReply\":2}");
@@ -102,9 +102,9 @@
   /** A retry with the same idempotency key is answered from the ledger and billed once. */
   @Test
   public void testRetryWithKeyIsBilledOnce() throws IOException {
-    Http.Answer first =
+    Http.Response first =
         Http.send(cluster.chat(1, "small", false, 4).header("Idempotency-Key", "bill-1"));
-    Http.Answer second =
+    Http.Response second =
         Http.send(cluster.chat(2, "small", false, 4).header("Idempotency-Key", "bill-1"));
     assertEquals(first.status(), 200, first.body());
     assertEquals(second.body(), first.body());
--- a/org.oatlug.test/tst/org/oatlug/test/ConfigurationProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/ConfigurationProcessTest.java
@@ -194,13 +194,13 @@
   /** Checks that a session keeps its version while another version is promoted. */
   @Test(dependsOnMethods = "testRacingOperatorsSeeConflicts")
   public void testSessionKeepsItsVersion() throws IOException {
-    Http.Answer first = Http.send(cluster.chat(0, "small", false, 1));
+    Http.Response first = Http.send(cluster.chat(0, "small", false, 1));
     String version = first.header("Oatlug-Version");
     String session = first.header("Oatlug-Session");
     String next = addVersion();
     cluster.oatlug("version", "promote", next, "--wait");
     for (int index = 0; index < INSTANCES; index++) {
-      Http.Answer answer =
+      Http.Response answer =
           Http.send(cluster.chat(index, "small", false, 1).header("Oatlug-Session", session));
       assertEquals(answer.header("Oatlug-Version"), version, answer.body());
     }
@@ -228,7 +228,7 @@
       String name = "foreman-" + number;
       String version = "";
       for (int index = 0; index < INSTANCES; index++) {
-        Http.Answer answer =
+        Http.Response answer =
             Http.send(cluster.chat(index, "small", false, 1).header("Oatlug-Session", name));
         assertEquals(answer.status(), 200, answer.body());
         version = version.isEmpty() ? answer.header("Oatlug-Version") : version;
@@ -269,7 +269,7 @@
   }
 
   private boolean usesCandidate(int index) throws IOException {
-    Http.Answer answer = Http.send(cluster.chat(index, "small", false, 1));
+    Http.Response answer = Http.send(cluster.chat(index, "small", false, 1));
     return answer.header("Oatlug-Version").equals("small-c");
   }
 
@@ -285,7 +285,7 @@
     load.start();
     final String session = Http.send(cluster.chat(0, "small", false, 1)).header("Oatlug-Session");
     cluster.signal(1, "STOP");
-    List<CompletableFuture<Http.Answer>> queued = new ArrayList<>();
+    List<CompletableFuture<Http.Response>> queued = new ArrayList<>();
     for (int number = 0; number < 30; number++) {
       queued.add(Http.sendAsync(cluster.chat(1, "small", false, 1)));
     }
@@ -309,7 +309,7 @@
   }
 
   private boolean isRefusedAsWithdrawn(int index, String session) throws IOException {
-    Http.Answer answer =
+    Http.Response answer =
         Http.send(cluster.chat(index, "small", false, 1).header("Oatlug-Session", session));
     if (answer.status() == 200) {
       return false;
--- a/org.oatlug.test/tst/org/oatlug/test/CrashingRequestProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/CrashingRequestProcessTest.java
@@ -41,7 +41,7 @@
    * Allowed crashes: three until an instance refuses the request, and three more until the refusal
    * is replicated.
    */
-  private static final int MAX_CRASHES = 6;
+  private static final int MAXIMUM_CRASHES = 6;
 
   private GatewayCluster cluster;
 
@@ -57,7 +57,7 @@
     cluster.close();
   }
 
-  private Http.Answer sendCrashingRequest(int entry) throws IOException {
+  private Http.Response sendCrashingRequest(int entry) throws IOException {
     return Http.send(crashingRequest(entry));
   }
 
@@ -67,7 +67,7 @@
         .POST(HttpRequest.BodyPublishers.ofString(CRASHING_BODY));
   }
 
-  private static boolean isRefusedAsCrashing(Http.Answer answer) {
+  private static boolean isRefusedAsCrashing(Http.Response answer) {
     return answer.body().contains("crashes-upstreams");
   }
 
@@ -81,9 +81,9 @@
       awaitRefusalAt(entry);
     }
     int crashed = cluster.crashes();
-    assertTrue(crashed <= MAX_CRASHES, crashed + " upstreams crashed");
+    assertTrue(crashed <= MAXIMUM_CRASHES, crashed + " upstreams crashed");
     for (int round = 0; round < 4 * ENTRIES; round++) {
-      Http.Answer answer = sendCrashingRequest(round % ENTRIES);
+      Http.Response answer = sendCrashingRequest(round % ENTRIES);
       assertEquals(answer.status(), 503);
       assertEquals(answer.notRun(), "yes");
       assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
@@ -149,7 +149,7 @@
    */
   @Test
   public void testOtherRequestsOfCrashedUpstreamsAreServed() throws IOException {
-    List<CompletableFuture<Http.Answer>> open = new ArrayList<>();
+    List<CompletableFuture<Http.Response>> open = new ArrayList<>();
     cluster.upstreams.values().forEach(upstream -> upstream.setStream(12, 50, Integer.MAX_VALUE));
     for (int round = 0; round < 6; round++) {
       for (int entry = 0; entry < ENTRIES; entry++) {
--- a/org.oatlug.test/tst/org/oatlug/test/DecisionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/DecisionTest.java
@@ -59,9 +59,9 @@
     int retries = 0;
     for (int step = 0; step < 500; step++) {
       if (random.nextBoolean()) {
-        budget.recordFirstAttempt();
+        budget.recordTry();
         firstAttempts++;
-      } else if (budget.takeRetry()) {
+      } else if (budget.tryAcquireRetry()) {
         retries++;
       }
     }
--- a/org.oatlug.test/tst/org/oatlug/test/EvacuationProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/EvacuationProcessTest.java
@@ -106,7 +106,7 @@
     cluster.store.put("evacuations", OTHER_ZONE, new JsonObject().put("odd", new JsonArray()));
     Await.until("requests are refused", () -> send() == 503);
     int before = cluster.arrivals();
-    Http.Answer answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
+    Http.Response answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
     assertEquals(answer.reason(), "zones-emptied");
     assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
     assertEquals(cluster.arrivals(), before);
@@ -153,7 +153,7 @@
     Await.until(
         "requests are refused because of the cold start",
         () -> {
-          Http.Answer answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
+          Http.Response answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
           return answer.status() == 503 && answer.reason().equals("upstreams-cold");
         });
     cluster.store.put("servers", "i-1", entry.put("cold-ms", 0).put("born", 1_764_720_000_000L));
--- a/org.oatlug.test/tst/org/oatlug/test/FakePlatform.java
+++ b/org.oatlug.test/tst/org/oatlug/test/FakePlatform.java
@@ -53,7 +53,7 @@
   }
 
   /** Sets whether calls are deferred until the test delivers them or take effect immediately. */
-  void waitForTest(boolean deferred) {
+  void deferCalls(boolean deferred) {
     immediate = !deferred;
   }
 
--- a/org.oatlug.test/tst/org/oatlug/test/GatewayAnswerProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/GatewayAnswerProcessTest.java
@@ -67,7 +67,7 @@
 
   @Test
   public void testPlainResponseIsForwardedUnchanged() throws IOException {
-    Http.Answer answer = Http.send(cluster.request(0, SampleObjects.REPEATABLE + "x?y=%20z"));
+    Http.Response answer = Http.send(cluster.request(0, SampleObjects.REPEATABLE + "x?y=%20z"));
     assertEquals(answer.status(), 200);
     assertTrue(answer.body().startsWith("answer to " + cluster.lastId()), answer.body());
     assertTrue(answer.header("Response-Signature").startsWith("signed-by-i-"));
@@ -96,7 +96,7 @@
   @Test
   public void testLargeResponseIsForwardedCompletely() throws IOException {
     cluster.upstreams.values().forEach(upstream -> upstream.setFillBytes(1_000_000));
-    Http.Answer answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
+    Http.Response answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
     assertEquals(answer.status(), 200);
     assertTrue(answer.body().length() > 1_000_000);
     assertTrue(answer.body().startsWith("answer to " + cluster.lastId()));
@@ -166,7 +166,7 @@
   @Test
   public void testRefusalByAllUpstreamsIsReportedAsNotRun() throws IOException {
     setBehaviourOfAll(Behaviour.REFUSES);
-    Http.Answer answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
+    Http.Response answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
     assertEquals(answer.status(), 503);
     assertEquals(answer.notRun(), "yes");
     assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
@@ -176,7 +176,7 @@
   @Test
   public void testNonIdempotentRequestIsSentOnceWhenItsResponseIsLost() throws IOException {
     setBehaviourOfAll(Behaviour.LOSES_RESPONSE);
-    Http.Answer answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
+    Http.Response answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
     assertEquals(answer.status(), 502);
     assertEquals(answer.notRun(), "unknown");
     assertEquals(cluster.arrivals(), 1);
@@ -193,7 +193,7 @@
       upstream(1).setBehaviour(behaviour);
       int before = upstream(1).arrivals().size();
       for (int round = 0; round < 6; round++) {
-        Http.Answer answer = Http.send(cluster.request(0, SampleObjects.REPEATABLE + round));
+        Http.Response answer = Http.send(cluster.request(0, SampleObjects.REPEATABLE + round));
         assertEquals(answer.status(), 200, behaviour.name());
         assertTrue(answer.body().startsWith("answer to " + cluster.lastId()), behaviour.name());
       }
@@ -204,14 +204,14 @@
   @Test
   public void testResponseToAnotherRequestIsNeverForwarded() throws IOException {
     setBehaviourOfAll(Behaviour.RESPONDS_TO_ANOTHER_REQUEST);
-    Http.Answer answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
+    Http.Response answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
     assertEquals(answer.status(), 502);
     assertEquals(cluster.arrivals(), 1);
   }
 
   @Test
   public void testStreamIsCompleteAndSigned() throws IOException {
-    Http.Answer answer = Http.send(cluster.streamRequest(0, "one"));
+    Http.Response answer = Http.send(cluster.streamRequest(0, "one"));
     assertEquals(answer.status(), 200);
     assertEquals(answer.body(), completeStream(cluster.lastId(), 0, 5));
     assertTrue(answer.header("Response-Signature").startsWith("signed-by-i-"));
@@ -223,7 +223,7 @@
     upstream(1).setStream(9, 5, 3);
     upstream(2).setStream(9, 5, 99);
     for (int round = 0; round < MAX_ROUNDS && upstream(1).arrivals().isEmpty(); round++) {
-      Http.Answer answer = Http.send(cluster.streamRequest(0, "s" + round));
+      Http.Response answer = Http.send(cluster.streamRequest(0, "s" + round));
       assertEquals(answer.status(), 200);
       assertEquals(answer.body(), completeStream(cluster.lastId(), 0, 9));
     }
@@ -240,14 +240,14 @@
 
   @Test
   public void testCallerResumesAfterLastEventId() throws IOException {
-    Http.Answer answer = Http.send(cluster.streamRequest(0, "one").header("Last-Event-Id", "2"));
+    Http.Response answer = Http.send(cluster.streamRequest(0, "one").header("Last-Event-Id", "2"));
     assertEquals(answer.body(), completeStream(cluster.lastId(), 3, 5));
   }
 
   @Test
   public void testLowConfidenceResponseOfSmallModelIsReplacedByLargest() throws IOException {
     cluster.upstreams.values().forEach(upstream -> upstream.setConfidence("small", 5));
-    Http.Answer answer = Http.send(cluster.streamRequest(0, "one"));
+    Http.Response answer = Http.send(cluster.streamRequest(0, "one"));
     assertEquals(answer.body(), completeStream(cluster.lastId(), 0, 5));
     assertEquals(answer.header("Confidence"), "90");
     List<String> models =
@@ -271,7 +271,7 @@
   @Test
   public void testUnresponsiveUpstreamsTimeOutWithUnknownOutcome() throws IOException {
     setBehaviourOfAll(Behaviour.HANGS);
-    Http.Answer answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
+    Http.Response answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
     assertEquals(answer.status(), 504);
     assertEquals(answer.notRun(), "unknown");
     assertEquals(cluster.arrivals(), 1);
--- a/org.oatlug.test/tst/org/oatlug/test/GatewayStateProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/GatewayStateProcessTest.java
@@ -66,7 +66,7 @@
     cluster = GatewayCluster.startEmpty(1);
     Await.until(
         "the instance listens", () -> Http.get(cluster.readinessPort(0), "/").status() == 503);
-    Http.Answer answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
+    Http.Response answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
     assertEquals(answer.status(), 503);
     assertEquals(answer.reason(), "not-ready");
     assertTrue(Double.parseDouble(answer.header("Retry-After")) > 0);
@@ -164,14 +164,14 @@
     UpstreamStandin draining = cluster.upstreams.get("i-1");
     draining.setStream(30, 20, 99);
     cluster.upstreams.get("i-2").setStream(30, 20, 99);
-    List<CompletableFuture<Http.Answer>> open = new ArrayList<>();
+    List<CompletableFuture<Http.Response>> open = new ArrayList<>();
     for (int number = 0; number < 6; number++) {
       open.add(Http.sendAsync(cluster.streamRequest(0, "s" + number)));
     }
     Await.until("streams are open", () -> cluster.arrivals() == 6);
     JsonObject entry = SampleObjects.upstream(SampleObjects.SERVICE, "127.0.0.1", 1, "v1");
     cluster.store.put("servers", "i-1", entry.put("state", "draining"));
-    for (CompletableFuture<Http.Answer> answer : open) {
+    for (CompletableFuture<Http.Response> answer : open) {
       assertEquals(answer.get(20, TimeUnit.SECONDS).status(), 200);
     }
     int before = draining.arrivals().size();
@@ -185,7 +185,7 @@
   public void testGracefulStopUnderLoadLosesNoResponse() throws Exception {
     cluster = GatewayCluster.start(1, 2);
     cluster.upstreams.values().forEach(upstream -> upstream.setStream(20, 40, 99));
-    List<CompletableFuture<Http.Answer>> open = new ArrayList<>();
+    List<CompletableFuture<Http.Response>> open = new ArrayList<>();
     for (int number = 0; number < 10; number++) {
       open.add(Http.sendAsync(cluster.streamRequest(0, "s" + number)));
     }
@@ -193,10 +193,10 @@
     cluster.signal(0, "TERM");
     Await.until(
         "the instance is not ready", () -> Http.get(cluster.readinessPort(0), "/").status() == 503);
-    Http.Answer lateAnswer = Http.send(cluster.request(0, SampleObjects.ONCE + "late"));
+    Http.Response lateAnswer = Http.send(cluster.request(0, SampleObjects.ONCE + "late"));
     assertEquals(lateAnswer.status(), 200);
     assertEquals(lateAnswer.header("Connection"), "close");
-    for (CompletableFuture<Http.Answer> answer : open) {
+    for (CompletableFuture<Http.Response> answer : open) {
       assertEquals(answer.get(20, TimeUnit.SECONDS).status(), 200);
     }
     assertTrue(cluster.process(0).waitFor(20, TimeUnit.SECONDS));
@@ -222,7 +222,7 @@
     cluster = GatewayCluster.start(1, 1);
     UpstreamStandin upstream = cluster.upstreams.get("i-1");
     upstream.setStream(1000, 20, 2000);
-    CompletableFuture<Http.Answer> answer = Http.sendAsync(cluster.streamRequest(0, "one"));
+    CompletableFuture<Http.Response> answer = Http.sendAsync(cluster.streamRequest(0, "one"));
     Await.until("the stream is open", () -> upstream.arrivals().size() == 1);
     answer.cancel(true);
     Await.until("the request is cancelled", () -> upstream.cancelled() == 1);
--- a/org.oatlug.test/tst/org/oatlug/test/Http.java
+++ b/org.oatlug.test/tst/org/oatlug/test/Http.java
@@ -27,7 +27,7 @@
   private Http() {}
 
   /** An HTTP response with its status and body. */
-  record Answer(int status, String body, HttpResponse<String> response) {
+  record Response(int status, String body, HttpResponse<String> response) {
     JsonNode json() {
       try {
         return Json.STRICT.readTree(body);
@@ -53,15 +53,15 @@
     return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path));
   }
 
-  static Answer get(int port, String path) throws IOException {
+  static Response get(int port, String path) throws IOException {
     return send(to(port, path).GET());
   }
 
-  static Answer put(int port, String path, String body) throws IOException {
+  static Response put(int port, String path, String body) throws IOException {
     return send(to(port, path).PUT(HttpRequest.BodyPublishers.ofString(body)));
   }
 
-  static Answer send(HttpRequest.Builder request) throws IOException {
+  static Response send(HttpRequest.Builder request) throws IOException {
     try {
       return sendAsync(request).get();
     } catch (ExecutionException e) {
@@ -72,10 +72,10 @@
     }
   }
 
-  static CompletableFuture<Answer> sendAsync(HttpRequest.Builder request) {
+  static CompletableFuture<Response> sendAsync(HttpRequest.Builder request) {
     return CLIENT
         .sendAsync(request.build(), HttpResponse.BodyHandlers.ofString())
-        .thenApply(response -> new Answer(response.statusCode(), response.body(), response))
+        .thenApply(response -> new Response(response.statusCode(), response.body(), response))
         .orTimeout(TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/test/KeptVersionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/KeptVersionTest.java
@@ -96,9 +96,9 @@
   /** Records enough failures of the new version to make it suspicious but not refuted. */
   private void recordSuspiciousFailures() {
     for (int number = 0; number < 6; number++) {
-      director.answered(
+      director.recordAnswer(
           new VersionRule.Answer(SERVICE, OLD, ROUTE, "", false, Duration.ofMillis(50)));
-      director.answered(
+      director.recordAnswer(
           new VersionRule.Answer(SERVICE, NEW, ROUTE, "", true, Duration.ofMillis(50)));
     }
     double evidence = director.status().get(0).evidence();
@@ -107,13 +107,13 @@
 
   @Test
   public void testSessionOnNewVersionKeepsItAfterOneFailure() {
-    director.sent(SERVICE, NEW, requestOf("s"));
+    director.recordSent(SERVICE, NEW, requestOf("s"));
     recordSuspiciousFailures();
     clock.advance(Duration.ofSeconds(1));
-    VersionPreference first = preferenceFor("s", PriorAttempts.NOTHING);
+    VersionPreference first = preferenceFor("s", PriorAttempts.NONE);
     assertTrue(first.isSatisfiedBy(NEW));
     assertEquals(first.firmness(), Firmness.KEPT);
-    director.sent(SERVICE, NEW, requestOf("s"));
+    director.recordSent(SERVICE, NEW, requestOf("s"));
     VersionPreference second = preferenceFor("s", priorFailureOn(NEW, first));
     assertTrue(second.isSatisfiedBy(NEW));
     assertEquals(second.firmness(), Firmness.KEPT);
@@ -123,23 +123,23 @@
   public void testNewSessionMayChangeVersionAfterItsFirstFailure() {
     clock.advance(ROLLOUT_DURATION.multipliedBy(8).dividedBy(10));
     recordSuspiciousFailures();
-    VersionPreference first = preferenceFor("s", PriorAttempts.NOTHING);
+    VersionPreference first = preferenceFor("s", PriorAttempts.NONE);
     assertTrue(first.isSatisfiedBy(NEW));
     assertEquals(first.firmness(), Firmness.PREFERRED);
-    director.sent(SERVICE, NEW, requestOf("s"));
+    director.recordSent(SERVICE, NEW, requestOf("s"));
     VersionPreference second = preferenceFor("s", priorFailureOn(NEW, first));
     assertFalse(second.isSatisfiedBy(NEW));
   }
 
   @Test
   public void testSessionOnOldVersionKeepsItInFirstHalfAndMayMoveLater() {
-    director.sent(SERVICE, OLD, requestOf("s"));
+    director.recordSent(SERVICE, OLD, requestOf("s"));
     clock.advance(ROLLOUT_DURATION.multipliedBy(4).dividedBy(10));
-    VersionPreference early = preferenceFor("s", PriorAttempts.NOTHING);
+    VersionPreference early = preferenceFor("s", PriorAttempts.NONE);
     assertFalse(early.isSatisfiedBy(NEW));
     assertEquals(early.firmness(), Firmness.KEPT);
     clock.advance(ROLLOUT_DURATION.multipliedBy(4).dividedBy(10));
-    VersionPreference late = preferenceFor("s", PriorAttempts.NOTHING);
+    VersionPreference late = preferenceFor("s", PriorAttempts.NONE);
     assertTrue(late.isSatisfiedBy(NEW));
     assertEquals(late.firmness(), Firmness.PREFERRED);
   }
--- a/org.oatlug.test/tst/org/oatlug/test/NamedLimitProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/NamedLimitProcessTest.java
@@ -167,7 +167,7 @@
     List<Double> waits = new ArrayList<>();
     int before = cluster.arrivals();
     for (int round = 0; round < ROUNDS; round++) {
-      Http.Answer answer = Http.send(cluster.request(0, SampleObjects.ONCE + round));
+      Http.Response answer = Http.send(cluster.request(0, SampleObjects.ONCE + round));
       if (answer.status() == 503) {
         assertEquals(answer.notRun(), "yes");
         assertEquals(answer.reason(), "upstreams-limited");
--- a/org.oatlug.test/tst/org/oatlug/test/PublisherTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/PublisherTest.java
@@ -49,7 +49,7 @@
   @Test
   public void testLostResponseIsRecognised() {
     FakePlatform platform = FakePlatform.create();
-    platform.waitForTest(true);
+    platform.deferCalls(true);
     List<Publisher.Published> results = new ArrayList<>();
     List<Throwable> failures = new ArrayList<>();
     Publisher.to(platform)
--- a/org.oatlug.test/tst/org/oatlug/test/RolloutFleet.java
+++ b/org.oatlug.test/tst/org/oatlug/test/RolloutFleet.java
@@ -84,7 +84,7 @@
 
   private RolloutFleet(long seed) {
     random = new Random(seed);
-    platform.waitForTest(false);
+    platform.deferCalls(false);
   }
 
   /** Starts instances that have discovered each other. */
@@ -138,7 +138,7 @@
               () -> true,
               () ->
                   !tables.hasRunningRollout()
-                      || exchange.hasInitialExchange()
+                      || exchange.hasCompletedInitialExchange()
                       || exchange.hasSessionRecords() && director.knowsOrderAges());
     }
 
@@ -160,7 +160,7 @@
       if (isUp()) {
         director.tick();
         exchange.tick();
-        readinessGate.opens();
+        readinessGate.tryOpen();
         time.after(TICK, this::tick);
       }
     }
@@ -195,20 +195,20 @@
               OptionalLong.empty(),
               Optional.empty());
       Optional<VersionRule.VersionPreference> preference =
-          director.preferenceFor(SERVICE, head, VersionRule.PriorAttempts.NOTHING);
+          director.preferenceFor(SERVICE, head, VersionRule.PriorAttempts.NONE);
       boolean selectsNew =
           preference
               .map(preferred -> preferred.version().equals(NEW) == preferred.wanted())
               .orElse(false);
       String version = selectsNew ? NEW : OLD;
-      director.sent(SERVICE, version, head);
-      director.answered(
+      director.recordSent(SERVICE, version, head);
+      director.recordAnswer(
           new VersionRule.Answer(SERVICE, version, ROUTE, "", false, Duration.ofMillis(50)));
       return version;
     }
 
     @Override
-    public StateReport own() {
+    public StateReport localReport() {
       return new StateReport(Map.of(), director.evidence(), Map.of(), Map.of());
     }
 
--- a/org.oatlug.test/tst/org/oatlug/test/RolloutRaceTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/RolloutRaceTest.java
@@ -70,7 +70,7 @@
 
     void recordResponses(String version, boolean failed, int count) {
       for (int number = 0; number < count; number++) {
-        director.answered(
+        director.recordAnswer(
             new VersionRule.Answer(SERVICE, version, ROUTE, "", failed, Duration.ofMillis(50)));
       }
     }
@@ -84,7 +84,7 @@
     clock = new FakeClock();
     platform = store;
     instances = new ArrayList<>();
-    platform.waitForTest(false);
+    platform.deferCalls(false);
     ServiceRollout rollout =
         new ServiceRollout(SERVICE, NEW, StoreRevision.ofNumber(1), 6000, Optional.empty());
     platform.put(KEY, StoreRevision.NONE, Json.STRICT.valueToTree(rollout)).await().indefinitely();
@@ -96,9 +96,9 @@
 
   /** Reads the store immediately, regardless of pending calls. */
   private StoredObject readStoredObject() {
-    platform.waitForTest(false);
+    platform.deferCalls(false);
     StoredObject object = platform.get(KEY).await().indefinitely().orElseThrow();
-    platform.waitForTest(true);
+    platform.deferCalls(true);
     return object;
   }
 
@@ -188,7 +188,7 @@
             Optional.empty());
     return instance
         .director
-        .preferenceFor(SERVICE, head, VersionRule.PriorAttempts.NOTHING)
+        .preferenceFor(SERVICE, head, VersionRule.PriorAttempts.NONE)
         .orElseThrow();
   }
 }
--- a/org.oatlug.test/tst/org/oatlug/test/RouterTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/RouterTest.java
@@ -218,12 +218,12 @@
   void testUpstreamIsNotSelectedWhileItBacksOff(@ForAll Random random) {
     publishRandomDeployment(random);
     UpstreamRow row = tables.upstreams().row("engine");
-    row.backOffUntil(clock.instant().plusSeconds(3));
+    row.extendBackOff(clock.instant().plusSeconds(3));
     assertTrue(decide("both", Map.of(), random).route().isEmpty());
     clock.advance(Duration.ofSeconds(2));
     assertTrue(decide("both", Map.of(), random).route().isEmpty());
     assertFalse(
-        row.ejected(clock.instant()), "an upstream that backs off must not count as failed");
+        row.isEjected(clock.instant()), "an upstream that backs off must not count as failed");
   }
 
   /**
--- a/org.oatlug.test/tst/org/oatlug/test/ShardTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/ShardTest.java
@@ -192,7 +192,7 @@
     History(FakePlatform platform, Random random) {
       this.platform = platform;
       this.random = random;
-      platform.waitForTest(true);
+      platform.deferCalls(true);
       for (int index = 0; index < WRITERS; index++) {
         writers.add(writer(platform));
       }
@@ -202,7 +202,7 @@
       for (int step = 0; step < STEPS; step++) {
         step();
       }
-      platform.waitForTest(false);
+      platform.deferCalls(false);
       platform.deliverAll();
     }
 
--- a/org.oatlug.test/tst/org/oatlug/test/StopProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/StopProcessTest.java
@@ -38,7 +38,7 @@
   /** An instance gets SIGTERM while it serves long streams and new requests arrive. */
   @Test
   public void testPlannedStopCutsOffNoRequest() throws IOException {
-    List<CompletableFuture<Http.Answer>> answers = new ArrayList<>();
+    List<CompletableFuture<Http.Response>> answers = new ArrayList<>();
     for (int number = 0; number < 6; number++) {
       answers.add(Http.sendAsync(cluster.chat(0, "small", true, 200)));
     }
@@ -53,8 +53,8 @@
       Await.pause(20);
     }
     assertEquals(cluster.entry(0).exitValue(), 0);
-    for (CompletableFuture<Http.Answer> answer : answers) {
-      Http.Answer response = answer.join();
+    for (CompletableFuture<Http.Response> answer : answers) {
+      Http.Response response = answer.join();
       assertEquals(response.status(), 200, response.body());
       assertTrue(response.body().endsWith("data: [DONE]\n\n"), response.body());
     }
@@ -65,14 +65,14 @@
   /** Killing an instance interrupts only its own open requests. */
   @Test(dependsOnMethods = "testPlannedStopCutsOffNoRequest")
   public void testKilledInstanceCostsOnlyItsOwnRequests() throws IOException {
-    List<CompletableFuture<Http.Answer>> answersOfOthers = new ArrayList<>();
+    List<CompletableFuture<Http.Response>> answersOfOthers = new ArrayList<>();
     for (int number = 0; number < 6; number++) {
       answersOfOthers.add(Http.sendAsync(cluster.chat(1 + number % 2, "small", true, 100)));
       Http.sendAsync(cluster.chat(0, "small", true, 100));
     }
     Await.until("the streams are open", () -> openRequests(0) >= 6);
     cluster.kill(0);
-    for (CompletableFuture<Http.Answer> answer : answersOfOthers) {
+    for (CompletableFuture<Http.Response> answer : answersOfOthers) {
       assertTrue(answer.join().body().endsWith("data: [DONE]\n\n"));
     }
     cluster.startEntry(0);
@@ -90,7 +90,7 @@
     }
     int before = Http.get(cluster.enginePorts.get(0), "/records").json().size();
     for (int number = 0; number < 60; number++) {
-      Http.Answer answer = Http.send(cluster.chat(number % INSTANCES, "small", false, 1));
+      Http.Response answer = Http.send(cluster.chat(number % INSTANCES, "small", false, 1));
       assertEquals(answer.status(), 200, answer.body());
     }
     assertEquals(Http.get(cluster.enginePorts.get(0), "/records").json().size(), before);
--- a/org.oatlug.test/tst/org/oatlug/test/UnknownOrderProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/UnknownOrderProcessTest.java
@@ -93,13 +93,13 @@
     cluster.store.holdCalls("rollouts");
     cluster.startEntry(0);
     Await.until("the instance requests the orders", () -> cluster.store.heldCalls() > 0);
-    List<CompletableFuture<Http.Answer>> responses = new ArrayList<>();
+    List<CompletableFuture<Http.Response>> responses = new ArrayList<>();
     for (String session : sessionsMovedLast()) {
       responses.add(Http.sendAsync(cluster.streamRequest(0, session)));
     }
     responses.get(0).join();
     cluster.store.releaseCalls();
-    for (CompletableFuture<Http.Answer> response : responses) {
+    for (CompletableFuture<Http.Response> response : responses) {
       int status = response.join().status();
       assertTrue(status == 200 || status == 503, "status " + status);
     }
--- a/org.oatlug.test/tst/org/oatlug/test/UpstreamSaysProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/UpstreamSaysProcessTest.java
@@ -49,7 +49,7 @@
     cluster.close();
   }
 
-  private Http.Answer send(String path) throws IOException {
+  private Http.Response send(String path) throws IOException {
     return Http.send(cluster.request(0, path));
   }
 
@@ -152,7 +152,7 @@
     double minimum = Double.MAX_VALUE;
     double maximum = 0;
     for (int round = 0; round < ROUNDS; round++) {
-      Http.Answer answer = send(SampleObjects.ONCE + round);
+      Http.Response answer = send(SampleObjects.ONCE + round);
       assertEquals(answer.status(), 503);
       assertEquals(answer.notRun(), "yes");
       assertEquals(answer.reason(), "upstreams-rest");
--- a/org.oatlug/src/org/oatlug/gateway/RequestHead.java
+++ b/org.oatlug/src/org/oatlug/gateway/RequestHead.java
@@ -14,7 +14,7 @@
  * @param host the requested host
  * @param path the path without its query
  * @param key the caller's key, empty if absent
- * @param patience the caller's timeout, empty if not stated
+ * @param callerTimeout the caller's timeout, empty if not stated
  * @param session the session id that the caller sent
  * @param resumeAfter the number of the last event that the caller received, if it resumes a stream
  * @param generation the parameters of a request for generated text
@@ -24,7 +24,7 @@
     String host,
     String path,
     Optional<String> key,
-    Optional<Duration> patience,
+    Optional<Duration> callerTimeout,
     Optional<String> session,
     OptionalLong resumeAfter,
     Optional<Generation> generation) {
--- a/org.oatlug/src/org/oatlug/internal/billing/BillingSystem.java
+++ b/org.oatlug/src/org/oatlug/internal/billing/BillingSystem.java
@@ -98,7 +98,7 @@
   }
 
   /** Returns the number of bills held as a witness for other instances. */
-  public int held() {
+  public int heldCount() {
     return heldBills.size();
   }
 
@@ -113,7 +113,7 @@
   }
 
   /** Sends the current state of a bill to the witnesses without waiting for acknowledgement. */
-  public void progress(Bill currentBill) {
+  public void sendProgress(Bill currentBill) {
     sendToWitnesses(currentBill).subscribe().with(unused -> {}, failure -> {});
   }
 
--- a/org.oatlug/src/org/oatlug/internal/crash/CrashLedger.java
+++ b/org.oatlug/src/org/oatlug/internal/crash/CrashLedger.java
@@ -176,7 +176,7 @@
   }
 
   /** Clears the crashes of a request on all instances; returns whether there were any. */
-  public boolean forget(String fingerprint) {
+  public boolean clear(String fingerprint) {
     return clear(fingerprint, "cleared by an operator");
   }
 
@@ -281,15 +281,15 @@
   }
 
   /** Returns the requests that run alone or are refused, sorted by fingerprint. */
-  public List<RestrictedRequest> listed() {
+  public List<RestrictedRequest> restrictedRequests() {
     return List.copyOf(requests.keySet()).stream()
         .sorted()
         .filter(fingerprint -> verdict(fingerprint) != Verdict.CLEAR)
-        .map(this::listed)
+        .map(this::restrictedRequest)
         .toList();
   }
 
-  private RestrictedRequest listed(String fingerprint) {
+  private RestrictedRequest restrictedRequest(String fingerprint) {
     CrashedRuns runs = requests.get(fingerprint);
     return new RestrictedRequest(
         fingerprint,
--- a/org.oatlug/src/org/oatlug/internal/engine/LoadSystem.java
+++ b/org.oatlug/src/org/oatlug/internal/engine/LoadSystem.java
@@ -124,7 +124,7 @@
     try {
       LoadReport report = response.bodyAsJson(LoadReport.class);
       UpstreamRow row = tables.upstreams().row(name);
-      boolean startsLeaving = report.leaving() && !row.leaving();
+      boolean startsLeaving = report.leaving() && !row.isLeaving();
       tables.upstreams().report(name, report.running(), report.waiting(), report.leaving());
       if (startsLeaving) {
         onLeaving.accept(name);
--- a/org.oatlug/src/org/oatlug/internal/engine/PrefillEstimates.java
+++ b/org.oatlug/src/org/oatlug/internal/engine/PrefillEstimates.java
@@ -118,7 +118,7 @@
    * @param forecast the forecast at the time when the request was sent
    * @param elapsed the time to first token
    */
-  public void answered(
+  public void recordTimeToFirstToken(
       String upstream, String model, FirstTokenForecast forecast, Duration elapsed, Instant now) {
     double expected = forecast.waitingMillis() + forecast.prefillMillis();
     double ratio = (elapsed.toMillis() + NOISE_MILLIS) / (expected + NOISE_MILLIS);
--- a/org.oatlug/src/org/oatlug/internal/engine/UpstreamCaller.java
+++ b/org.oatlug/src/org/oatlug/internal/engine/UpstreamCaller.java
@@ -69,7 +69,7 @@
    * @param headers the request headers
    * @param body the request body
    * @param repeatable whether the request may run more than once
-   * @param firstByte the maximum time until the response begins
+   * @param firstByteTimeout the maximum time until the response begins
    */
   public record Call(
       HttpMethod method,
@@ -77,7 +77,7 @@
       Map<String, String> headers,
       Buffer body,
       boolean repeatable,
-      Duration firstByte) {}
+      Duration firstByteTimeout) {}
 
   /** One attempt that can be cancelled. Used from one event loop. */
   public static final class Attempt {
@@ -142,7 +142,7 @@
     Promise<HttpClientResponse> promise = Promise.promise();
     long timer =
         vertx.setTimer(
-            call.firstByte().toMillis(),
+            call.firstByteTimeout().toMillis(),
             unused -> {
               if (promise.tryFail(new IllegalStateException("no answer in time"))) {
                 request.reset();
@@ -180,7 +180,7 @@
   }
 
   /** Returns whether the response is successful. */
-  public static boolean isGood(HttpClientResponse response) {
+  public static boolean isSuccessful(HttpClientResponse response) {
     return response.statusCode() == OK;
   }
 
--- a/org.oatlug/src/org/oatlug/internal/gateway/Admission.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/Admission.java
@@ -175,7 +175,7 @@
   }
 
   /** Reserves memory for a part of a body, or refuses it; the caller has to release it. */
-  void hold(long bytes) throws RefusedException {
+  void reserveBodyMemory(long bytes) throws RefusedException {
     if (!components.bodyMemory().tryReserve(bytes)) {
       throw new RefusedException(
           Refusal.retryAfter(RefusalReason.OVERLOADED, ErrorText.get().overloaded, RETRY_DELAY));
--- a/org.oatlug/src/org/oatlug/internal/gateway/AttemptFeedback.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/AttemptFeedback.java
@@ -24,7 +24,7 @@
 
   private final GatewayComponents components;
   private final AdmittedRequest request;
-  private final UpstreamSelection.Chosen chosen;
+  private final UpstreamSelection.CostedUpstream chosen;
   private final String model;
   private final String process;
   private final Instant started;
@@ -35,7 +35,7 @@
   AttemptFeedback(
       GatewayComponents components,
       AdmittedRequest request,
-      UpstreamSelection.Chosen chosen,
+      UpstreamSelection.CostedUpstream chosen,
       Optional<String> model) {
     this.components = components;
     this.request = request;
@@ -55,7 +55,7 @@
   }
 
   /** Returns the time since the start of the attempt. */
-  Duration took() {
+  Duration elapsed() {
     return Duration.between(started, now());
   }
 
@@ -66,7 +66,9 @@
         Optional.of(components.rates().reserve(chosen.name(), chosen.upstream(), started));
     promptQueued = true;
     components.prefillBacklog().begin(process, chosen.forecast().prefillMillis());
-    components.versions().sent(request.service(), chosen.upstream().version(), request.head());
+    components
+        .versions()
+        .recordSent(request.service(), chosen.upstream().version(), request.head());
     request
         .head()
         .generation()
@@ -97,9 +99,9 @@
             load ->
                 components
                     .tables()
-                    .loads()
+                    .upstreamTable()
                     .report(chosen.row(), load.running(), load.waiting(), false));
-    head.coldMillis().ifPresent(millis -> chosen.row().coldUntil(now().plusMillis(millis)));
+    head.coldMillis().ifPresent(millis -> chosen.row().extendColdStart(now().plusMillis(millis)));
     head.backOff().ifPresent(this::recordBackOff);
     applyLimit(head);
     if (head.leaving()) {
@@ -109,7 +111,7 @@
 
   private void recordBackOff(Duration backOff) {
     components.meters().count("upstream.asked-for-rest");
-    chosen.row().backOffUntil(now().plus(backOff));
+    chosen.row().extendBackOff(now().plus(backOff));
   }
 
   /** Applies the rate limit that the response advertises, or records that there is none. */
@@ -148,7 +150,7 @@
    */
   private void recordLeaving(ResponseHead head) {
     rowOfResponse(head)
-        .filter(row -> !row.leaving())
+        .filter(row -> !row.isLeaving())
         .ifPresent(
             row -> {
               components.meters().count("upstream.said-leaving");
@@ -173,18 +175,18 @@
   }
 
   /** Records a success of the upstream. */
-  void succeeded() {
-    chosen.row().succeeded(now());
+  void recordSuccess() {
+    chosen.row().recordSuccess(now());
   }
 
   /** Records a failure of the upstream. */
-  void failed() {
-    chosen.row().failed(now());
+  void recordFailure() {
+    chosen.row().recordFailure(now());
   }
 
   /** Records that the upstream refused the request because of its load. */
-  void refused() {
-    chosen.row().refused(now());
+  void recordRefusal() {
+    chosen.row().recordRefusal(now());
   }
 
   /** Records that no connection to the upstream could be opened. */
@@ -193,17 +195,17 @@
   }
 
   /** Reports the outcome of the request on the upstream's version to the version rule. */
-  void outcome(boolean failed) {
+  void recordOutcome(boolean failed) {
     components
         .versions()
-        .answered(
+        .recordAnswer(
             new VersionRule.Answer(
                 request.service(),
                 chosen.upstream().version(),
                 request.route(),
                 model,
                 failed,
-                took()));
+                elapsed()));
   }
 
   /** Reports the event interval of a stream of the upstream's version to the version rule. */
@@ -221,18 +223,20 @@
 
   /** Updates the estimates with the time to the response head, and records the forecast error. */
   void recordTimeToHead() {
-    components.times().recordHeadTime(timesKey(), took());
+    components.times().recordHeadTime(timesKey(), elapsed());
     FirstTokenForecast forecast = chosen.forecast();
     if (forecast.equals(FirstTokenForecast.NONE)) {
       return;
     }
-    Duration error = took().minus(forecast.timeToFirstToken());
+    Duration error = elapsed().minus(forecast.timeToFirstToken());
     components.meters().time(error.isNegative() ? "forecast.early" : "forecast.late", error.abs());
-    components.prefillEstimates().answered(process, model, forecast, took(), now());
+    components
+        .prefillEstimates()
+        .recordTimeToFirstToken(process, model, forecast, elapsed(), now());
   }
 
   /** Records a pause between events of the stream. */
-  void paused(Duration pause) {
+  void recordPause(Duration pause) {
     components.times().recordPause(timesKey(), pause.toMillis());
   }
 
--- a/org.oatlug/src/org/oatlug/internal/gateway/CrashGuard.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/CrashGuard.java
@@ -69,9 +69,9 @@
   }
 
   /** Removes the evidence against a request and returns whether there was any. */
-  boolean forget(String fingerprint) {
+  boolean clear(String fingerprint) {
     logger.atInfo().log("operator cleared request %s to run again", fingerprint);
-    return ledger.forget(fingerprint);
+    return ledger.clear(fingerprint);
   }
 
   /** Guards one try of a request. */
@@ -143,7 +143,7 @@
      *
      * @param attemptStart the start time of the attempt
      */
-    void responseInterrupted(UpstreamSelection.Chosen chosen, Instant attemptStart) {
+    void responseInterrupted(UpstreamSelection.CostedUpstream chosen, Instant attemptStart) {
       Instant interruptedAt = clock.instant();
       crashProbe.ifCrashed(
           chosen.row().process(),
@@ -152,9 +152,9 @@
     }
 
     private void recordCrash(
-        UpstreamSelection.Chosen chosen, Instant attemptStart, Instant interruptedAt) {
+        UpstreamSelection.CostedUpstream chosen, Instant attemptStart, Instant interruptedAt) {
       meters.count("crash.upstream-ended");
-      chosen.row().ended(interruptedAt);
+      chosen.row().recordCrash(interruptedAt);
       ledger.recordCrash(
           fingerprint(), request.subject(), chosen.row().process(), attemptStart, interruptedAt);
     }
--- a/org.oatlug/src/org/oatlug/internal/gateway/Exchange.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/Exchange.java
@@ -81,8 +81,8 @@
     }
     deadlineTimer = components.deadlines().schedule(request.deadline(), this::deadlinePassed);
     callerResponse.onDisconnect(this::callerDisconnected);
-    components.budgets().of(request.service()).recordFirstAttempt();
-    stage = route.isCascade() ? components.stages().first(route) : 0;
+    components.budgets().of(request.service()).recordTry();
+    stage = route.isCascade() ? components.stages().firstStage(route) : 0;
     components.dispatchQueue().enqueue(this);
   }
 
@@ -160,7 +160,7 @@
     if (refuseIfCrashing()) {
       return;
     }
-    Optional<UpstreamSelection.Chosen> chosen = choose(model());
+    Optional<UpstreamSelection.CostedUpstream> chosen = choose(model());
     if (chosen.isEmpty()) {
       giveUpWithoutUpstream();
       return;
@@ -195,7 +195,7 @@
         .spacedDelay(service, advertisedRate, components.clock().instant());
   }
 
-  private void startAttempt(UpstreamSelection.Chosen chosen) {
+  private void startAttempt(UpstreamSelection.CostedUpstream chosen) {
     versionPreference.ifPresent(
         preference -> logVersionChoice(preference, chosen.upstream().version()));
     currentAttempt = new ExchangeAttempt(this, chosen, model());
@@ -222,21 +222,21 @@
                         lastFailedVersion.orElse("-")));
   }
 
-  private Optional<UpstreamSelection.Chosen> choose(Optional<String> model) {
+  private Optional<UpstreamSelection.CostedUpstream> choose(Optional<String> model) {
     VersionRule.PriorAttempts priorAttempts =
         new VersionRule.PriorAttempts(lastFailedVersion, firstInputs);
     versionPreference =
         components.versions().preferenceFor(request.service(), request.head(), priorAttempts);
     firstInputs =
         firstInputs.or(() -> versionPreference.flatMap(VersionRule.VersionPreference::basis));
-    Optional<UpstreamSelection.Chosen> untried = chooseExcluding(model, triedUpstreams);
+    Optional<UpstreamSelection.CostedUpstream> untried = chooseExcluding(model, triedUpstreams);
     if (untried.isPresent() || currentAttempt == null || !route.isRepeatable()) {
       return untried;
     }
     return chooseExcluding(model, Set.of(currentAttempt.upstreamName()));
   }
 
-  private Optional<UpstreamSelection.Chosen> chooseExcluding(
+  private Optional<UpstreamSelection.CostedUpstream> chooseExcluding(
       Optional<String> model, Set<String> excluded) {
     UpstreamSelection.Criteria criteria =
         new UpstreamSelection.Criteria(
@@ -305,12 +305,12 @@
    * @param stage the index of the model in the cascade
    * @param chosen the upstream
    */
-  record Replacement(int stage, UpstreamSelection.Chosen chosen) {}
+  record Replacement(int stage, UpstreamSelection.CostedUpstream chosen) {}
 
   /** Returns the replacement for an answer of this confidence, or empty to accept the answer. */
   Optional<Replacement> replacementFor(int confidence) {
-    Map<String, Optional<UpstreamSelection.Chosen>> choices = new HashMap<>();
-    Function<String, Optional<UpstreamSelection.Chosen>> upstreamOf =
+    Map<String, Optional<UpstreamSelection.CostedUpstream>> choices = new HashMap<>();
+    Function<String, Optional<UpstreamSelection.CostedUpstream>> upstreamOf =
         name -> choices.computeIfAbsent(name, modelName -> choose(Optional.of(modelName)));
     StageRule.LowConfidenceAnswer lowConfidenceAnswer =
         new StageRule.LowConfidenceAnswer(
@@ -323,7 +323,7 @@
             name ->
                 upstreamOf
                     .apply(name)
-                    .map(UpstreamSelection.Chosen::forecast)
+                    .map(UpstreamSelection.CostedUpstream::forecast)
                     .orElse(FirstTokenForecast.NEVER));
     OptionalInt nextStage = components.stages().replacementStage(lowConfidenceAnswer);
     if (nextStage.isEmpty()) {
@@ -354,7 +354,7 @@
       components.meters().count("retry.no-attempt-left");
       return false;
     }
-    if (!components.budgets().of(request.service()).takeRetry()) {
+    if (!components.budgets().of(request.service()).tryAcquireRetry()) {
       components.meters().count("retry.not-in-budget");
       return false;
     }
@@ -393,7 +393,7 @@
         .selection()
         .eligibility()
         .shortestBackOff(request.service(), components.clock().instant())
-        .map(components.retryAfterJitter()::after);
+        .map(components.retryAfterJitter()::withJitter);
   }
 
   private void refuse(Refusal refusal) {
--- a/org.oatlug/src/org/oatlug/internal/gateway/ExchangeAttempt.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/ExchangeAttempt.java
@@ -42,7 +42,7 @@
   private final Route route;
   private final CallerResponse callerResponse;
   private final StreamRelay relay;
-  private final UpstreamSelection.Chosen chosen;
+  private final UpstreamSelection.CostedUpstream chosen;
   private final Optional<String> model;
   private final AttemptFeedback feedback;
   private final BufferedResponse bufferedResponse;
@@ -55,7 +55,8 @@
   private boolean released;
   private boolean runsIsolated;
 
-  ExchangeAttempt(Exchange exchange, UpstreamSelection.Chosen chosen, Optional<String> model) {
+  ExchangeAttempt(
+      Exchange exchange, UpstreamSelection.CostedUpstream chosen, Optional<String> model) {
     this.exchange = exchange;
     this.components = exchange.components();
     this.request = exchange.request();
@@ -134,7 +135,7 @@
     if (!bufferedResponse.isForwarded() && exchange.tryAcquireRetry("upstream-silent")) {
       abandon();
       logEvent("silent");
-      feedback.failed();
+      feedback.recordFailure();
       exchange.markMayHaveRun();
       recordOutcome(true);
       relay.resetForNextUpstream();
@@ -210,7 +211,7 @@
       exclusion = feedback.write();
     }
     if (exclusion.isPresent()) {
-      return withhold(exclusion.get().reason(), exclusion.get().cause());
+      return withhold(exclusion.get().reason(), exclusion.get().counterSuffix());
     }
     // Updates the remaining time: the host may have been suspended since the headers were first
     // composed.
@@ -219,10 +220,10 @@
   }
 
   /** Ends the attempt before anything is written, and tries another upstream. */
-  private boolean withhold(String reason, String cause) {
+  private boolean withhold(String reason, String counterSuffix) {
     release();
     logEvent("withheld, " + reason);
-    exchange.retryUnsent("retry." + cause);
+    exchange.retryUnsent("retry." + counterSuffix);
     return false;
   }
 
@@ -269,7 +270,7 @@
     if (wrongUpstream) {
       chosen.row().markLeaving();
     } else {
-      feedback.refused();
+      feedback.recordRefusal();
     }
     logEvent(
         "refused by upstream status="
@@ -285,7 +286,7 @@
   /** Starts another attempt after a failure of the upstream; returns whether it did. */
   private boolean retryAfterFailure(ResponseHead head) {
     exchange.markMayHaveRun();
-    feedback.failed();
+    feedback.recordFailure();
     if (!route.isRepeatable()) {
       return false;
     }
@@ -310,7 +311,7 @@
       return false;
     }
     exchange.markMayHaveRun();
-    feedback.succeeded();
+    feedback.recordSuccess();
     abandon();
     logEvent("dropped confidence=" + confidence);
     exchange.sendToReplacement(replacement.get());
@@ -335,7 +336,7 @@
   private void activityReceived() {
     Duration pause = idleTimeout.recordActivity();
     if (streaming) {
-      feedback.paused(pause);
+      feedback.recordPause(pause);
     }
   }
 
@@ -347,7 +348,7 @@
       return;
     }
     long countBefore = relay.eventCount();
-    Buffer events = relay.take(data);
+    Buffer events = relay.newEvents(data);
     if (events.length() > 0) {
       eventInterval
           .add(relay.eventCount() - countBefore, components.clock().instant())
@@ -391,7 +392,7 @@
       exchange.requestGuard().recordSuccess();
     }
     if (response.statusCode() < FIRST_SERVER_ERROR) {
-      feedback.succeeded();
+      feedback.recordSuccess();
     }
     if (streaming) {
       eventInterval.end().ifPresent(feedback::recordEventInterval);
@@ -416,7 +417,7 @@
   @Override
   public void failed(Progress progress, String problem) {
     release();
-    feedback.failed();
+    feedback.recordFailure();
     logEvent("failed " + progress + " " + problem + " request=" + request.fingerprint());
     if (progress == Progress.NOT_SENT) {
       feedback.connectFailed();
@@ -454,12 +455,12 @@
     if (failure) {
       exchange.recordFailedVersion(chosen.upstream().version());
     }
-    feedback.outcome(failure);
+    feedback.recordOutcome(failure);
   }
 
   private void logEvent(String event) {
     exchange.log().log(
         "attempt=%d upstream=%s %s millis=%d",
-        exchange.attemptsSent(), chosen.name(), event, feedback.took().toMillis());
+        exchange.attemptsSent(), chosen.name(), event, feedback.elapsed().toMillis());
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/ExpectedValueRule.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/ExpectedValueRule.java
@@ -69,7 +69,7 @@
   }
 
   @Override
-  public int first(Route route) {
+  public int firstStage(Route route) {
     return 0;
   }
 
@@ -82,7 +82,7 @@
     double goodProbability = probabilityOfGood(answer.confidence());
     double acceptValue = goodProbability + (1 - goodProbability) * POOR_VALUE;
     String model = answer.route().models().get(largest);
-    FirstTokenForecast forecast = answer.expected().apply(model);
+    FirstTokenForecast forecast = answer.forecastOf().apply(model);
     double escalateValue =
         expectedValue(answer, model, forecast)
             - relativePrice(answer, model)
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayComponents.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayComponents.java
@@ -134,7 +134,7 @@
         DeadlineTimers.create(vertx, clock),
         DispatchQueue.create(
             clock, task -> vertx.runOnContext(unused -> task.run()), Exchange::sendFirst),
-        RetryAfterJitter.by(random, instances),
+        RetryAfterJitter.create(random, instances),
         times,
         BodyMemoryBudget.create(),
         LogRateLimit.create(clock, meters),
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayParticipant.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayParticipant.java
@@ -19,12 +19,12 @@
  */
 public final class GatewayParticipant implements ExchangeParticipant {
   /** The interval at which speeds are sent; they change with each answer but may be 1 s old. */
-  private static final Duration SPEEDS_INTERVAL = Duration.ofSeconds(1);
+  private static final Duration PREFILL_MODELS_INTERVAL = Duration.ofSeconds(1);
 
   private final GatewayComponents components;
   private final RolloutDirector rollouts;
-  private Map<String, PrefillTimeModel> speeds = Map.of();
-  private Instant speedsAt = Instant.EPOCH;
+  private Map<String, PrefillTimeModel> prefillModels = Map.of();
+  private Instant prefillModelsReadAt = Instant.EPOCH;
 
   private GatewayParticipant(GatewayComponents components, RolloutDirector rollouts) {
     this.components = components;
@@ -37,16 +37,16 @@
   }
 
   @Override
-  public StateReport own() {
+  public StateReport localReport() {
     Instant now = components.clock().instant();
-    if (!now.isBefore(speedsAt.plus(SPEEDS_INTERVAL))) {
-      speeds = components.prefillEstimates().measured();
-      speedsAt = now;
+    if (!now.isBefore(prefillModelsReadAt.plus(PREFILL_MODELS_INTERVAL))) {
+      prefillModels = components.prefillEstimates().measured();
+      prefillModelsReadAt = now;
     }
     return new StateReport(
         components.prefillBacklog().own(),
         rollouts.evidence(),
-        speeds,
+        prefillModels,
         components.limits().observed());
   }
 
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayServer.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayServer.java
@@ -167,7 +167,7 @@
       Instant arrived) {
     Route route = admitted.route();
     Duration timeout = Duration.ofMillis(route.timeoutMillis());
-    Duration callerTimeout = head.patience().orElse(timeout);
+    Duration callerTimeout = head.callerTimeout().orElse(timeout);
     Duration effectiveTimeout = callerTimeout.compareTo(timeout) < 0 ? callerTimeout : timeout;
     boolean hasBody =
         request.getHeader("Content-Length") != null
@@ -275,7 +275,7 @@
       }
       try {
         admission.checkBodyBytes(body.length() + data.length());
-        admission.hold(data.length());
+        admission.reserveBodyMemory(data.length());
         reservedBytes += data.length();
         body.appendBuffer(data);
       } catch (RefusedException e) {
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayTables.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayTables.java
@@ -297,7 +297,8 @@
 
   /** Returns whether an upstream has announced that it is leaving, or is not registered. */
   public boolean isLeaving(String upstream) {
-    return upstream(upstream).map(UpstreamRecord::leaving).orElse(true) || row(upstream).leaving();
+    return upstream(upstream).map(UpstreamRecord::leaving).orElse(true)
+        || row(upstream).isLeaving();
   }
 
   /** Returns the names of the upstreams of a service. */
@@ -330,7 +331,7 @@
   }
 
   /** Returns the load of the upstreams as this instance knows it. */
-  public UpstreamTable loads() {
-    return upstreams.loads();
+  public UpstreamTable upstreamTable() {
+    return upstreams.upstreamTable();
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/InspectionServer.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/InspectionServer.java
@@ -95,7 +95,7 @@
   private static void letRun(HttpServerRequest request, GatewayComponents components) {
     boolean forgotten =
         request.method().equals(HttpMethod.PUT)
-            && components.crashes().forget(text(request, "request"));
+            && components.crashes().clear(text(request, "request"));
     request
         .response()
         .setStatusCode(forgotten ? OK : NOT_FOUND)
--- a/org.oatlug/src/org/oatlug/internal/gateway/InstanceStatus.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/InstanceStatus.java
@@ -76,7 +76,7 @@
         tables.storeStatus(),
         List.copyOf(tables.evacuatedZones()),
         components.versions().status(),
-        components.crashLedger().listed(),
+        components.crashLedger().restrictedRequests(),
         upstreams);
   }
 
@@ -90,9 +90,9 @@
         record.zone(),
         components.tables().isLeaving(name),
         row.isCold(now),
-        components.limits().find(row.process()),
+        components.limits().limitOf(row.process()),
         row.remainingBackOff(now).toMillis(),
-        row.ejected(now),
+        row.isEjected(now),
         row.expectedLoad());
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/ReadinessGate.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/ReadinessGate.java
@@ -62,7 +62,7 @@
   }
 
   /** Checks the conditions and returns whether this call opened the gate. */
-  public boolean opens() {
+  public boolean tryOpen() {
     if (open || !configured.getAsBoolean()) {
       return false;
     }
--- a/org.oatlug/src/org/oatlug/internal/gateway/RetryAfterJitter.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RetryAfterJitter.java
@@ -42,7 +42,7 @@
    *
    * @param instances supplies the number of instances that refuse callers at the same time
    */
-  static RetryAfterJitter by(RandomGenerator random, IntSupplier instances) {
+  static RetryAfterJitter create(RandomGenerator random, IntSupplier instances) {
     return new RetryAfterJitter(random, instances);
   }
 
@@ -72,7 +72,7 @@
   }
 
   /** Returns the delay plus jitter, never less than the delay. */
-  Duration after(Duration delay) {
+  Duration withJitter(Duration delay) {
     long proportional = (long) (delay.toMillis() * JITTER_SHARE);
     long jitterMillis = Math.max(MINIMUM_JITTER.toMillis(), proportional);
     return delay.plusMillis((long) (random.nextDouble() * jitterMillis));
--- a/org.oatlug/src/org/oatlug/internal/gateway/RolloutDirector.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RolloutDirector.java
@@ -175,7 +175,7 @@
   }
 
   @Override
-  public void sent(String service, String version, RequestHead head) {
+  public void recordSent(String service, String version, RequestHead head) {
     SessionVersions.sessionHash(head)
         .ifPresent(session -> recordSession(service, version, session));
   }
@@ -202,7 +202,7 @@
   }
 
   @Override
-  public void answered(Answer answer) {
+  public void recordAnswer(Answer answer) {
     updateTrial(answer.service(), trial -> trial.add(answer, clock.instant()));
   }
 
--- a/org.oatlug/src/org/oatlug/internal/gateway/RolloutTrial.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RolloutTrial.java
@@ -123,7 +123,10 @@
     if (!answer.failed()) {
       resetExpiredWindow(now);
       String group = groupOf(answer.route(), answer.model());
-      add(lateness, ofCandidate, headDelays.isSlow(group, answer.took().toMillis(), ofCandidate));
+      add(
+          lateness,
+          ofCandidate,
+          headDelays.isSlow(group, answer.timeToHead().toMillis(), ofCandidate));
     }
     refuted |= RolloutGuard.sufficesForLocalHalt(localEvidence());
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/RouteExplanation.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RouteExplanation.java
@@ -121,10 +121,10 @@
       GatewayComponents components, Route route, Route.WeightedTarget target, RequestHead head) {
     String service = target.service();
     Optional<VersionRule.VersionPreference> preference =
-        components.versions().preferenceFor(service, head, VersionRule.PriorAttempts.NOTHING);
+        components.versions().preferenceFor(service, head, VersionRule.PriorAttempts.NONE);
     Optional<String> firstModel =
         route.isCascade()
-            ? Optional.of(route.models().get(components.stages().first(route)))
+            ? Optional.of(route.models().get(components.stages().firstStage(route)))
             : Optional.empty();
     UpstreamSelection.Criteria criteria =
         new UpstreamSelection.Criteria(
@@ -170,14 +170,14 @@
       GatewayComponents components, UpstreamSelection.Criteria criteria, String model) {
     return components
         .selection()
-        .choose(criteria.of(model), components.clock().instant())
-        .map(UpstreamSelection.Chosen::forecast)
+        .choose(criteria.withModel(model), components.clock().instant())
+        .map(UpstreamSelection.CostedUpstream::forecast)
         .orElse(FirstTokenForecast.NEVER);
   }
 
   private static List<Candidate> candidates(
       GatewayComponents components, UpstreamSelection.Criteria criteria) {
-    List<UpstreamSelection.Chosen> costs =
+    List<UpstreamSelection.CostedUpstream> costs =
         components.selection().costs(criteria, components.clock().instant());
     List<Candidate> candidates = new ArrayList<>();
     for (String name : components.tables().upstreamsOf(criteria.service())) {
--- a/org.oatlug/src/org/oatlug/internal/gateway/StageRule.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/StageRule.java
@@ -19,7 +19,7 @@
 interface StageRule {
 
   /** Returns the first stage for requests of the route; 0 is the smallest model. */
-  int first(Route route);
+  int firstStage(Route route);
 
   /**
    * An answer that may be discarded in favour of a later stage.
@@ -30,8 +30,8 @@
    * @param stage the stage that answered
    * @param confidence the confidence that the model states for its answer, 0 to 100
    * @param elapsed the time since the request arrived
-   * @param expected the forecast of the time to the head for a model, at the upstream that would be
-   *     chosen
+   * @param forecastOf the forecast of the time to the head for a model, at the upstream that would
+   *     be chosen
    */
   record LowConfidenceAnswer(
       Route route,
@@ -40,7 +40,7 @@
       int stage,
       int confidence,
       Duration elapsed,
-      Function<String, FirstTokenForecast> expected) {}
+      Function<String, FirstTokenForecast> forecastOf) {}
 
   /** Returns the stage that is to replace the answer, empty to accept the answer. */
   OptionalInt replacementStage(LowConfidenceAnswer answer);
--- a/org.oatlug/src/org/oatlug/internal/gateway/StreamRelay.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/StreamRelay.java
@@ -32,7 +32,7 @@
   }
 
   /** Returns the bytes of the events that are now complete and were not forwarded before. */
-  Buffer take(Buffer data) {
+  Buffer newEvents(Buffer data) {
     Buffer newEvents = Buffer.buffer();
     for (EventSplitter.Event event : splitter.add(data)) {
       boolean duplicate =
--- a/org.oatlug/src/org/oatlug/internal/gateway/UpstreamEligibility.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/UpstreamEligibility.java
@@ -62,11 +62,11 @@
     LIMITED("the rate limit of the upstream is exhausted", "upstream-limited");
 
     private final String reason;
-    private final String cause;
+    private final String counterSuffix;
 
-    Exclusion(String reason, String cause) {
+    Exclusion(String reason, String counterSuffix) {
       this.reason = reason;
-      this.cause = cause;
+      this.counterSuffix = counterSuffix;
     }
 
     /** Returns the reason as text for the log. */
@@ -75,8 +75,8 @@
     }
 
     /** Returns the suffix of the counter of requests sent to another upstream instead. */
-    String cause() {
-      return cause;
+    String counterSuffix() {
+      return counterSuffix;
     }
   }
 
@@ -106,7 +106,7 @@
    */
   Optional<Exclusion> exclusionOf(
       UpstreamRecord upstream, UpstreamRow row, int connectionLimit, Instant now) {
-    if (upstream.leaving() || row.leaving()) {
+    if (upstream.leaving() || row.isLeaving()) {
       return LEAVES;
     }
     if (tables.isInEvacuatedZone(upstream)) {
--- a/org.oatlug/src/org/oatlug/internal/gateway/UpstreamRateLimits.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/UpstreamRateLimits.java
@@ -140,7 +140,7 @@
   /** Returns the target of the advertised limit, empty if the upstream advertises none. */
   private Optional<Target> advertisedTarget(UpstreamRecord upstream, UpstreamRow row) {
     return advertisedLimits
-        .find(row.process())
+        .limitOf(row.process())
         .map(limit -> Target.advertised(row.process(), upstream.zone(), limit));
   }
 
@@ -150,7 +150,7 @@
    */
   double totalAdvertisedRate(String service) {
     return tables.upstreamsOf(service).stream()
-        .flatMapToDouble(name -> advertisedLimits.of(tables.row(name).process()).stream())
+        .flatMapToDouble(name -> advertisedLimits.rateOf(tables.row(name).process()).stream())
         .sum();
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/UpstreamRegistry.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/UpstreamRegistry.java
@@ -35,7 +35,7 @@
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   private final InstantSource clock;
-  private final UpstreamTable loads = UpstreamTable.create();
+  private final UpstreamTable upstreamTable = UpstreamTable.create();
   private final Map<String, UpstreamRecord> records = new TreeMap<>();
   private final Map<String, List<String>> byService = new HashMap<>();
   private final Set<String> evacuatedZones = new TreeSet<>();
@@ -62,13 +62,13 @@
     }
     registration
         .coldMillis()
-        .ifPresent(millis -> row(name).coldUntil(clock.instant().plusMillis(millis)));
+        .ifPresent(millis -> row(name).extendColdStart(clock.instant().plusMillis(millis)));
     return previous;
   }
 
   /** Drops the state of an earlier process of the same name: it doesn't apply to this process. */
   private void recordStart(String name, long startedAtMillis) {
-    if (loads.started(name, startedAtMillis)) {
+    if (upstreamTable.started(name, startedAtMillis)) {
       logger.atInfo().log("upstream %s was restarted, started=%d", name, startedAtMillis);
     }
   }
@@ -108,7 +108,7 @@
             services
                 .apply(record.service())
                 .flatMap(ServiceDefinition::coldStart)
-                .ifPresent(cold -> row(name).coldUntil(now.plusMillis(cold.millis())));
+                .ifPresent(cold -> row(name).extendColdStart(now.plusMillis(cold.millis())));
           }
         });
     return true;
@@ -136,7 +136,7 @@
 
   /** Returns the state observed of an upstream since its start. */
   UpstreamRow row(String name) {
-    return loads.row(name);
+    return upstreamTable.row(name);
   }
 
   /** Returns the names of the upstreams of a service. */
@@ -150,7 +150,7 @@
   }
 
   /** Returns the load table of the upstreams. */
-  UpstreamTable loads() {
-    return loads;
+  UpstreamTable upstreamTable() {
+    return upstreamTable;
   }
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/UpstreamSelection.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/UpstreamSelection.java
@@ -106,7 +106,7 @@
     }
 
     /** Returns the same criteria for another model. */
-    Criteria of(String newModel) {
+    Criteria withModel(String newModel) {
       return new Criteria(
           service, version, Optional.of(newModel), generation, bodyBytes, excluded, isolated);
     }
@@ -124,7 +124,7 @@
    * @param forecast the predicted time until the response begins
    * @param costMillis the placement cost in milliseconds
    */
-  record Chosen(
+  record CostedUpstream(
       String name,
       UpstreamRecord upstream,
       UpstreamRow row,
@@ -136,26 +136,27 @@
    * isolated, upstreams that are not ejected and run no suspect come first, then those with the
    * lowest load, so that a crash affects few requests.
    */
-  Optional<Chosen> choose(Criteria criteria, Instant now) {
-    Comparator<Chosen> byCost = Comparator.comparingDouble(Chosen::costMillis);
-    Comparator<Chosen> order =
+  Optional<CostedUpstream> choose(Criteria criteria, Instant now) {
+    Comparator<CostedUpstream> byCost = Comparator.comparingDouble(CostedUpstream::costMillis);
+    Comparator<CostedUpstream> order =
         criteria.isolated() ? byLowestLoad(now).thenComparing(byCost) : byCost;
     return costs(criteria, now).stream().min(order);
   }
 
-  private Comparator<Chosen> byLowestLoad(Instant now) {
-    return Comparator.<Chosen, Boolean>comparing(candidate -> candidate.row().ejected(now))
+  private Comparator<CostedUpstream> byLowestLoad(Instant now) {
+    return Comparator.<CostedUpstream, Boolean>comparing(
+            candidate -> candidate.row().isEjected(now))
         .thenComparing(candidate -> hasSuspect.test(candidate.name()))
         .thenComparing(candidate -> candidate.row().expectedLoad());
   }
 
   /** Returns the upstreams that can be selected, with their costs, in no particular order. */
-  List<Chosen> costs(Criteria criteria, Instant now) {
+  List<CostedUpstream> costs(Criteria criteria, Instant now) {
     List<Candidate> candidates = candidates(criteria, now);
     String home = homeOf(criteria, candidates);
     Optional<Prompt> prompt =
         criteria.generation().map(generation -> Prompt.of(criteria.model().orElse(""), generation));
-    List<Chosen> costs = new ArrayList<>();
+    List<CostedUpstream> costs = new ArrayList<>();
     for (Candidate candidate : candidates) {
       FirstTokenForecast forecast =
           prompt
@@ -164,7 +165,7 @@
       double cost = PlacementCost.of(upstreamState(candidate, forecast, now), criteria.bodyBytes());
       double jitter = random.nextDouble() * JITTER_MILLIS;
       costs.add(
-          new Chosen(
+          new CostedUpstream(
               candidate.name(), candidate.upstream(), candidate.row(), forecast, cost + jitter));
     }
     return costs;
@@ -192,12 +193,12 @@
     boolean unreachable = otherZone && zones.isUnreachable(candidate.upstream().zone(), now);
     return new PlacementCost.UpstreamState(
         forecast,
-        tables.loads().estimatedLoad(candidate.row()),
+        tables.upstreamTable().estimatedLoad(candidate.row()),
         Math.max(1, candidate.upstream().slots()),
         otherZone,
         candidate.row().failureShare(now),
         candidate.row().isCold(now),
-        unreachable || candidate.row().ejected(now) || hasSuspect.test(candidate.name()));
+        unreachable || candidate.row().isEjected(now) || hasSuspect.test(candidate.name()));
   }
 
   /**
--- a/org.oatlug/src/org/oatlug/internal/gateway/VersionRule.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/VersionRule.java
@@ -49,8 +49,7 @@
    */
   record PriorAttempts(Optional<String> failedVersion, Optional<VersionDecisionInputs> inputs) {
     /** No earlier attempt. */
-    public static final PriorAttempts NOTHING =
-        new PriorAttempts(Optional.empty(), Optional.empty());
+    public static final PriorAttempts NONE = new PriorAttempts(Optional.empty(), Optional.empty());
   }
 
   /**
@@ -61,10 +60,15 @@
    * @param route the route
    * @param model the model, empty for none
    * @param failed whether the request failed
-   * @param took the time to the head of the answer
+   * @param timeToHead the time to the head of the answer
    */
   record Answer(
-      String service, String version, Route route, String model, boolean failed, Duration took) {}
+      String service,
+      String version,
+      Route route,
+      String model,
+      boolean failed,
+      Duration timeToHead) {}
 
   /**
    * Returns the version preference for a request, empty if any version may answer.
@@ -75,10 +79,10 @@
       String service, RequestHead head, PriorAttempts priorAttempts);
 
   /** Records that a request was sent to a version. */
-  void sent(String service, String version, RequestHead head);
+  void recordSent(String service, String version, RequestHead head);
 
   /** Records an answer. */
-  void answered(Answer answer);
+  void recordAnswer(Answer answer);
 
   /**
    * The mean interval at which a version generates the events of a stream.
--- a/org.oatlug/src/org/oatlug/internal/gather/ExchangeParticipant.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/ExchangeParticipant.java
@@ -11,7 +11,7 @@
 public interface ExchangeParticipant {
 
   /** Returns the report of this instance. */
-  StateReport own();
+  StateReport localReport();
 
   /** Returns the sessions to replicate that this instance observed since the last call. */
   List<SessionObservation> drainPendingSessions();
--- a/org.oatlug/src/org/oatlug/internal/gather/ReportAggregator.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/ReportAggregator.java
@@ -20,7 +20,7 @@
  * be quadratic in the number of instances; through collectors each instance sends and receives one.
  * Invariants: each instance and each zone counts once, with its latest report; if no further report
  * arrives, its pending prompts count for {@link PrefillBacklog#VALIDITY} and its evidence for
- * {@link #EVIDENCE_VALID}. Owned by one event loop, not thread-safe.
+ * {@link #EVIDENCE_VALIDITY}. Owned by one event loop, not thread-safe.
  */
 final class ReportAggregator {
   /** Bounds the instances of a zone at the design size, with those replaced within a day. */
@@ -33,14 +33,14 @@
   static final Duration REFRESH_INTERVAL = PrefillBacklog.VALIDITY.dividedBy(4);
 
   /** The time for which evidence of a stopped instance or a partitioned zone is retained. */
-  static final Duration EVIDENCE_VALID = Duration.ofSeconds(60);
+  static final Duration EVIDENCE_VALIDITY = Duration.ofSeconds(60);
 
   private final Map<String, Received> instances = BoundedMap.withMaximumSize(MAXIMUM_INSTANCES);
   private final Map<String, Received> zones = BoundedMap.withMaximumSize(MAXIMUM_ZONES);
 
   private record Received(StateReport report, Instant receivedAt) {
     StateReport asOf(Instant now) {
-      if (now.isAfter(receivedAt.plus(EVIDENCE_VALID))) {
+      if (now.isAfter(receivedAt.plus(EVIDENCE_VALIDITY))) {
         return StateReport.EMPTY;
       }
       StateReport aged = report.aged(Duration.between(receivedAt, now));
--- a/org.oatlug/src/org/oatlug/internal/gather/SessionLog.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/SessionLog.java
@@ -99,7 +99,7 @@
   }
 
   /** Returns the sequence number of the latest entry. */
-  long last() {
+  long lastNumber() {
     return lastNumber;
   }
 
--- a/org.oatlug/src/org/oatlug/internal/gather/StateExchange.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/StateExchange.java
@@ -117,7 +117,7 @@
     Instant now = clock.instant();
     startedAt = startedAt.or(() -> Optional.of(now));
     pendingSessions.add(participant.drainPendingSessions(), now);
-    StateReport own = participant.own();
+    StateReport own = participant.localReport();
     Optional<Member> remoteCollector = collectors.ofOwnZone();
     if (remoteCollector.isEmpty()) {
       collect(own, now);
@@ -141,11 +141,11 @@
    * informed collector, or has run for long enough to have received them from all.
    */
   public boolean hasSessionRecords() {
-    return receivedRecords || hasInitialExchange();
+    return receivedRecords || hasCompletedInitialExchange();
   }
 
   /** Returns whether this instance has run for long enough to have received all reports. */
-  public boolean hasInitialExchange() {
+  public boolean hasCompletedInitialExchange() {
     return startedAt
         .map(start -> clock.instant().isAfter(start.plus(INITIAL_EXCHANGE)))
         .orElse(false);
--- a/org.oatlug/src/org/oatlug/internal/gather/ZoneReplication.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/ZoneReplication.java
@@ -94,7 +94,8 @@
   }
 
   private Sent emptyStateOf(Member collector) {
-    return new Sent(collector.process(), StateReport.EMPTY, Instant.EPOCH, sessions.last(), 0, 0);
+    return new Sent(
+        collector.process(), StateReport.EMPTY, Instant.EPOCH, sessions.lastNumber(), 0, 0);
   }
 
   private SessionLog.Batch unsentSessions(Sent previous, Instant now) {
--- a/org.oatlug/src/org/oatlug/internal/http/ChatPlan.java
+++ b/org.oatlug/src/org/oatlug/internal/http/ChatPlan.java
@@ -127,19 +127,21 @@
             Integer.toString(request.workspace().priority()),
             Headers.WORKSPACE,
             request.workspaceName());
-    Duration firstByte = Duration.ofMillis(services.settings().limits().firstByteMillis());
+    Duration firstByteTimeout = Duration.ofMillis(services.settings().limits().firstByteMillis());
     return new UpstreamCaller.Call(
         HttpMethod.POST,
         "/v1/chat/completions",
         headers,
         body.forVersion(route.version()),
         isRepeatable(),
-        firstByte);
+        firstByteTimeout);
   }
 
   @Override
   public void attemptFailed(Route route) {
-    services.guard().outcome(route.model(), route.version(), RolloutGuard.Measure.ERRORS, true);
+    services
+        .guard()
+        .recordOutcome(route.model(), route.version(), RolloutGuard.Measure.ERRORS, true);
   }
 
   @Override
@@ -149,7 +151,7 @@
       listener.interrupted("the answer is of another request");
       return;
     }
-    if (!UpstreamCaller.isGood(response)) {
+    if (!UpstreamCaller.isSuccessful(response)) {
       forwardRefusal(response, listener);
     } else if (body.stream()) {
       stream(route, response, listener);
@@ -261,7 +263,7 @@
     public void progressed() {
       Bill currentBill = bill.progressed(route, stream.tokens());
       if (stream.tokens() % TOKENS_PER_PROGRESS_UPDATE == 1) {
-        services.billing().progress(currentBill);
+        services.billing().sendProgress(currentBill);
       }
     }
 
@@ -296,7 +298,8 @@
 
     private void endClaimOfStream() {
       claim.ifPresent(
-          granted -> endClaim(granted, LedgerEntry.Outcome.Kind.ANSWER_NOT_KEPT, Buffer.buffer()));
+          granted ->
+              endClaim(granted, LedgerEntry.Outcome.Kind.RESPONSE_NOT_STORED, Buffer.buffer()));
     }
   }
 
@@ -383,12 +386,14 @@
     services.tables().ratings().rated(subject, satisfied);
     services
         .guard()
-        .outcome(route.model(), route.version(), RolloutGuard.Measure.RATINGS, !satisfied);
+        .recordOutcome(route.model(), route.version(), RolloutGuard.Measure.RATINGS, !satisfied);
   }
 
   private void succeeded(Route route) {
     services.tables().upstreams().row(route.upstream()).rememberPrefix(body.prefix());
-    services.guard().outcome(route.model(), route.version(), RolloutGuard.Measure.ERRORS, false);
+    services
+        .guard()
+        .recordOutcome(route.model(), route.version(), RolloutGuard.Measure.ERRORS, false);
     Duration elapsed = Duration.between(request.started(), services.clock().instant());
     services.meters().time("answer.whole", elapsed);
   }
@@ -398,12 +403,12 @@
     boolean isRecorded = content.length() <= MAXIMUM_RECORDED_BYTES;
     LedgerEntry.Outcome.Kind recordedKind =
         kind == LedgerEntry.Outcome.Kind.ANSWERED && !isRecorded
-            ? LedgerEntry.Outcome.Kind.ANSWER_NOT_KEPT
+            ? LedgerEntry.Outcome.Kind.RESPONSE_NOT_STORED
             : kind;
     String text = isRecorded ? content.toString() : "";
     return services
         .claims()
-        .end(
+        .recordOutcome(
             new LedgerEntry.Outcome(
                 claimed.key(), claimed.attempt(), recordedKind, 200, JSON_TYPE, text));
   }
--- a/org.oatlug/src/org/oatlug/internal/http/Forwarding.java
+++ b/org.oatlug/src/org/oatlug/internal/http/Forwarding.java
@@ -58,7 +58,7 @@
 
   /** Starts forwarding the request. */
   void start() {
-    services.retries().recordFirstAttempt();
+    services.retries().recordTry();
     request.onDisconnect(this::callerDisconnected);
     Duration remaining = Duration.between(services.clock().instant(), request.deadline());
     long millis = Math.max(1, remaining.toMillis());
@@ -111,7 +111,7 @@
             this::tryRoute,
             () -> refuse(RefusalReason.OVERLOADED, ErrorText.get().overloaded));
     services.meters().count("line.asked");
-    services.waitQueue().enqueue(queuedRequest, now).ifPresent(wait -> end(overloaded(wait)));
+    services.admissionQueue().enqueue(queuedRequest, now).ifPresent(wait -> end(overloaded(wait)));
   }
 
   private Refusal overloaded(Duration wait) {
@@ -148,8 +148,8 @@
   private void release(UpstreamRow row) {
     row.release();
     Instant now = services.clock().instant();
-    services.waitQueue().recordRelease(now);
-    services.vertx().runOnContext(unused -> services.waitQueue().serve(now));
+    services.admissionQueue().recordRelease(now);
+    services.vertx().runOnContext(unused -> services.admissionQueue().serve(now));
   }
 
   private void prepared(Route route, UpstreamRow row) {
@@ -195,7 +195,7 @@
 
   private boolean isRouteValid(Route route, UpstreamRow row) {
     Optional<Upstream> upstream = services.tables().catalogue().upstream(route.upstream());
-    boolean isRemoved = upstream.isEmpty() || upstream.get().leaving() || row.leaving();
+    boolean isRemoved = upstream.isEmpty() || upstream.get().leaving() || row.isLeaving();
     boolean isBackingOff = row.isBackingOff(services.clock().instant());
     return !isRemoved
         && !isBackingOff
@@ -241,7 +241,7 @@
 
   private void responseCompleted(UpstreamRow row) {
     release(row);
-    row.succeeded(services.clock().instant());
+    row.recordSuccess(services.clock().instant());
     services.vertx().cancelTimer(deadlineTimer);
   }
 
@@ -256,7 +256,7 @@
         .atWarning()
         .with(LogKeys.REQUEST_ID, request.id())
         .log("the response of %s was interrupted: %s", route.upstream(), problem);
-    row.failed(services.clock().instant());
+    row.recordFailure(services.clock().instant());
     plan.attemptFailed(route);
     failedUpstreams.add(route.upstream());
     boolean isHeadWritten = request.response().headWritten();
@@ -314,12 +314,13 @@
     Instant now = services.clock().instant();
     failure
         .retryAfter()
-        .ifPresentOrElse(backOff -> row.backOffUntil(now.plus(backOff)), () -> row.failed(now));
+        .ifPresentOrElse(
+            backOff -> row.extendBackOff(now.plus(backOff)), () -> row.recordFailure(now));
   }
 
   private boolean mayRetry(String cause) {
     boolean beforeDeadline = services.clock().instant().isBefore(request.deadline());
-    if (!beforeDeadline || !services.retries().takeRetry()) {
+    if (!beforeDeadline || !services.retries().tryAcquireRetry()) {
       services.meters().count("retry.not-in-budget");
       return false;
     }
--- a/org.oatlug/src/org/oatlug/internal/http/OperatorServer.java
+++ b/org.oatlug/src/org/oatlug/internal/http/OperatorServer.java
@@ -101,7 +101,7 @@
     responseBody.put("reader", services.membership().isReader());
     responseBody.put("openRequests", services.open().count());
     responseBody.put("unconfirmedBills", services.billing().unconfirmedCount());
-    responseBody.put("heldBills", services.billing().held());
+    responseBody.put("heldBills", services.billing().heldCount());
     responseBody.put("unrecordedOutcomes", services.claims().unrecordedCount());
     services
         .tables()
@@ -123,7 +123,7 @@
           .put("name", row.name())
           .put("inFlight", row.inFlight())
           .put("expectedLoad", row.expectedLoad())
-          .put("leaving", row.leaving());
+          .put("leaving", row.isLeaving());
     }
     send(context, responseBody);
   }
--- a/org.oatlug/src/org/oatlug/internal/http/ServicePlan.java
+++ b/org.oatlug/src/org/oatlug/internal/http/ServicePlan.java
@@ -102,9 +102,9 @@
         .ifPresent(key -> headers.put(Headers.IDEMPOTENCY_KEY, key));
     headers.put(Headers.UPSTREAM_REQUEST_ID, request.id());
     headers.put(Headers.WORKSPACE, request.workspaceName());
-    Duration firstByte = Duration.ofMillis(services.settings().limits().firstByteMillis());
+    Duration firstByteTimeout = Duration.ofMillis(services.settings().limits().firstByteMillis());
     return new UpstreamCaller.Call(
-        target.method(), target.path(), headers, body, isRepeatable(), firstByte);
+        target.method(), target.path(), headers, body, isRepeatable(), firstByteTimeout);
   }
 
   @Override
@@ -138,7 +138,7 @@
     }
     services
         .claims()
-        .end(outcome(LedgerEntry.Outcome.Kind.MAY_HAVE_RUN, 0, DEFAULT_TYPE, ""))
+        .recordOutcome(outcome(LedgerEntry.Outcome.Kind.MAY_HAVE_RUN, 0, DEFAULT_TYPE, ""))
         .subscribe()
         .with(unused -> {}, failure -> {});
   }
@@ -149,9 +149,13 @@
     }
     boolean isRecorded = content.length() <= MAXIMUM_RECORDED_BYTES;
     LedgerEntry.Outcome.Kind kind =
-        isRecorded ? LedgerEntry.Outcome.Kind.ANSWERED : LedgerEntry.Outcome.Kind.ANSWER_NOT_KEPT;
+        isRecorded
+            ? LedgerEntry.Outcome.Kind.ANSWERED
+            : LedgerEntry.Outcome.Kind.RESPONSE_NOT_STORED;
     String text = isRecorded ? content.toString() : "";
-    return services.claims().end(outcome(kind, response.statusCode(), typeOf(response), text));
+    return services
+        .claims()
+        .recordOutcome(outcome(kind, response.statusCode(), typeOf(response), text));
   }
 
   private LedgerEntry.Outcome outcome(
--- a/org.oatlug/src/org/oatlug/internal/http/Services.java
+++ b/org.oatlug/src/org/oatlug/internal/http/Services.java
@@ -47,7 +47,7 @@
  * @param sessionKeys the keys that sign sessions
  * @param open the open requests
  * @param limits the rate limits of workspaces
- * @param waitQueue the queue of requests that wait for upstream capacity
+ * @param admissionQueue the queue of requests that wait for upstream capacity
  * @param retries the retry budget
  * @param pauseDetector detects pauses of the event loop
  * @param meters the counters and timers
@@ -70,7 +70,7 @@
     SessionKeys sessionKeys,
     OpenRequests open,
     WorkspaceLimits limits,
-    AdmissionQueue waitQueue,
+    AdmissionQueue admissionQueue,
     RetryBudget retries,
     PauseDetector pauseDetector,
     Meters meters) {
--- a/org.oatlug/src/org/oatlug/internal/ledger/ClaimSystem.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/ClaimSystem.java
@@ -106,7 +106,7 @@
    * Records the outcome of a claimed request; completes when it is confirmed, queued for retry, or
    * dropped because the retry queue is full.
    */
-  public Uni<Void> end(LedgerEntry.Outcome outcome) {
+  public Uni<Void> recordOutcome(LedgerEntry.Outcome outcome) {
     return ledger
         .apply(outcome)
         .onFailure()
@@ -156,7 +156,7 @@
     return switch (outcome.kind()) {
       case ANSWERED ->
           Uni.createFrom().item(new Claim(entry.key(), entry.attempt(), Optional.of(outcome)));
-      case ANSWER_NOT_KEPT -> {
+      case RESPONSE_NOT_STORED -> {
         String detail = ErrorText.get().answerLost;
         yield refuse(new Refusal(RefusalReason.ANSWER_LOST, NotRun.NO, detail, Optional.empty()));
       }
--- a/org.oatlug/src/org/oatlug/internal/ledger/LedgerEntry.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/LedgerEntry.java
@@ -67,7 +67,8 @@
     /** What is known of the outcome of a claimed request. */
     public enum Kind {
       ANSWERED,
-      ANSWER_NOT_KEPT,
+      @JsonProperty("ANSWER_NOT_KEPT")
+      RESPONSE_NOT_STORED,
       MAY_HAVE_RUN
     }
   }
--- a/org.oatlug/src/org/oatlug/internal/limit/AdmissionQueue.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/AdmissionQueue.java
@@ -57,10 +57,10 @@
    * @param priority the priority from 0 to 9
    * @param deadline the deadline of the request
    * @param proceed tries to send the request; returns whether it leaves the queue
-   * @param giveUp refuses the request
+   * @param refuse refuses the request
    */
   public record QueuedRequest(
-      String target, int priority, Instant deadline, BooleanSupplier proceed, Runnable giveUp) {}
+      String target, int priority, Instant deadline, BooleanSupplier proceed, Runnable refuse) {}
 
   private record Entry(QueuedRequest request, long number, Instant latestStart) {}
 
@@ -95,7 +95,7 @@
       QueuedRequest request = entry.request();
       if (!now.isBefore(entry.latestStart())) {
         entries.remove(entry);
-        request.giveUp().run();
+        request.refuse().run();
       } else if (!fullTargets.contains(request.target())) {
         tryToSend(entry, fullTargets);
       }
--- a/org.oatlug/src/org/oatlug/internal/limit/AdvertisedLimits.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/AdvertisedLimits.java
@@ -92,12 +92,12 @@
   }
 
   /** Returns the requests a second that the upstream accepts, empty if it advertises no limit. */
-  public OptionalDouble of(String upstream) {
-    return find(upstream).stream().mapToDouble(AdvertisedLimit::requestsPerSecond).findFirst();
+  public OptionalDouble rateOf(String upstream) {
+    return limitOf(upstream).stream().mapToDouble(AdvertisedLimit::requestsPerSecond).findFirst();
   }
 
   /** Returns the limit of the upstream with its age, empty if it advertises none. */
-  public Optional<AdvertisedLimit> find(String upstream) {
+  public Optional<AdvertisedLimit> limitOf(String upstream) {
     return Optional.ofNullable(validObservations.get(upstream))
         .filter(Observation::isLimit)
         .map(observation -> observation.asOf(clock.instant()));
--- a/org.oatlug/src/org/oatlug/internal/limit/DispatchQueue.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/DispatchQueue.java
@@ -68,7 +68,7 @@
   }
 
   /** Returns the number of queued requests. */
-  public int waiting() {
+  public int size() {
     return queue.size();
   }
 
--- a/org.oatlug/src/org/oatlug/internal/limit/RetryBudget.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/RetryBudget.java
@@ -41,12 +41,12 @@
   }
 
   /** Counts a first attempt. */
-  public void recordFirstAttempt() {
+  public void recordTry() {
     balance = Math.min(reserve.getAsDouble(), balance + share);
   }
 
   /** Takes a retry from the budget; returns whether it allowed one. */
-  public boolean takeRetry() {
+  public boolean tryAcquireRetry() {
     balance = Math.min(reserve.getAsDouble(), balance);
     if (balance < 1) {
       return false;
--- a/org.oatlug/src/org/oatlug/internal/rollout/RolloutGuard.java
+++ b/org.oatlug/src/org/oatlug/internal/rollout/RolloutGuard.java
@@ -37,10 +37,10 @@
  */
 public final class RolloutGuard implements TickSystem {
   /** Bound on the probability that all instances together ever halt a good candidate. */
-  static final double ALPHA_TOGETHER = 0.004;
+  static final double MAXIMUM_FALSE_GLOBAL_HALT_PROBABILITY = 0.004;
 
   /** Bound on the probability that one instance ever halts its share of a good candidate. */
-  static final double ALPHA_ALONE = 0.0005;
+  static final double MAXIMUM_FALSE_LOCAL_HALT_PROBABILITY = 0.0005;
 
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final Duration INTERVAL = Duration.ofMillis(1000);
@@ -90,16 +90,16 @@
 
   /** Returns whether the evidence of one instance suffices for it to halt its own share. */
   public static boolean sufficesForLocalHalt(double logEvidence) {
-    return logEvidence >= -Math.log(ALPHA_ALONE);
+    return logEvidence >= -Math.log(MAXIMUM_FALSE_LOCAL_HALT_PROBABILITY);
   }
 
   /** Returns whether the summed evidence of all instances suffices to halt the roll-out. */
   public static boolean sufficesForGlobalHalt(double logEvidence) {
-    return logEvidence >= -Math.log(ALPHA_TOGETHER);
+    return logEvidence >= -Math.log(MAXIMUM_FALSE_GLOBAL_HALT_PROBABILITY);
   }
 
   /** Records an outcome of a version; outcomes outside a running roll-out are ignored. */
-  public void outcome(String model, String version, Measure measure, boolean failed) {
+  public void recordOutcome(String model, String version, Measure measure, boolean failed) {
     Optional<Rollout> rollout = running(model);
     if (rollout.isEmpty()) {
       return;
--- a/org.oatlug/src/org/oatlug/internal/routing/Router.java
+++ b/org.oatlug/src/org/oatlug/internal/routing/Router.java
@@ -304,7 +304,7 @@
 
   private static Optional<Reason> exclusionReason(
       RouteRequest request, Upstream upstream, UpstreamRow row, Instant now) {
-    if (upstream.leaving() || row.leaving()) {
+    if (upstream.leaving() || row.isLeaving()) {
       return Optional.of(Reason.UPSTREAM_LEAVING);
     }
     if (request.excluded().contains(row.name())) {
@@ -313,7 +313,7 @@
     if (row.isBackingOff(now)) {
       return Optional.of(Reason.UPSTREAM_RESTS);
     }
-    if (row.ejected(now)) {
+    if (row.isEjected(now)) {
       return Optional.of(Reason.UPSTREAM_EJECTED);
     }
     return Optional.empty();
--- a/org.oatlug/src/org/oatlug/internal/table/UpstreamRow.java
+++ b/org.oatlug/src/org/oatlug/internal/table/UpstreamRow.java
@@ -72,12 +72,12 @@
   }
 
   /** Extends the cold start until this time; a time before the end already set is ignored. */
-  public void coldUntil(Instant end) {
+  public void extendColdStart(Instant end) {
     coldUntil = end.isAfter(coldUntil) ? end : coldUntil;
   }
 
   /** Extends the back-off until this time; a time before the end already set is ignored. */
-  public void backOffUntil(Instant end) {
+  public void extendBackOff(Instant end) {
     backOffUntil = end.isAfter(backOffUntil) ? end : backOffUntil;
   }
 
@@ -135,7 +135,7 @@
   }
 
   /** Records a response that is no failure of the upstream; its status may be a client error. */
-  public void succeeded(Instant now) {
+  public void recordSuccess(Instant now) {
     consecutiveFailures = 0;
     updateFailureShare(0, now);
   }
@@ -150,7 +150,7 @@
    * Records a refusal for overload; it wastes an attempt, and so raises the failure share, but is
    * no failure that ejects the upstream.
    */
-  public void refused(Instant now) {
+  public void recordRefusal(Instant now) {
     updateFailureShare(1, now);
   }
 
@@ -164,7 +164,7 @@
   }
 
   /** Records a failure; several consecutive failures eject the upstream temporarily. */
-  public void failed(Instant now) {
+  public void recordFailure(Instant now) {
     consecutiveFailures++;
     updateFailureShare(1, now);
     if (consecutiveFailures >= FAILURES_UNTIL_EJECTION) {
@@ -175,7 +175,7 @@
   /**
    * Ejects the upstream because its process has ended; its store entry may remain for some time.
    */
-  public void ended(Instant now) {
+  public void recordCrash(Instant now) {
     ejectedUntil = now.plus(EJECTION_TIME);
   }
 
@@ -195,12 +195,12 @@
   }
 
   /** Returns whether the upstream was reported or marked as draining. */
-  public boolean leaving() {
+  public boolean isLeaving() {
     return leaving;
   }
 
   /** Returns whether the upstream is ejected. */
-  public boolean ejected(Instant now) {
+  public boolean isEjected(Instant now) {
     return now.isBefore(ejectedUntil);
   }
 
