--- a/org.oatlug/src/org/oatlug/internal/gateway/Exchange.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/Exchange.java
@@ -21,11 +21,11 @@
 import org.oatlug.internal.engine.FirstTokenForecast;
 
 /**
- * Handles one admitted request: sends it to upstreams in turn until one of them answers.
+ * Handles one admitted request: sends it to upstreams in turn until one of them responds.
  *
  * <p>Invariants: at most one attempt is open; a request that is not repeatable is never resent once
  * an upstream may have run it; a refusal that states "not run" is sent only while no upstream may
- * have run the request; the final answer is sent no later than the deadline. Used from one event
+ * have run the request; the final response is sent no later than the deadline. Used from one event
  * loop.
  */
 final class Exchange {
@@ -34,7 +34,7 @@
   /** The default retry delay of a refusal: about the time until a connection slot frees up. */
   private static final Duration DEFAULT_RETRY_AFTER = Duration.ofMillis(300);
 
-  /** With less time left than this, an attempt cannot produce an answer. */
+  /** With less time left than this, an attempt cannot produce a response. */
   private static final Duration MINIMUM_ATTEMPT_TIME = Duration.ofMillis(30);
 
   /** The number of attempts without any written byte after which the request is refused. */
@@ -307,7 +307,7 @@
    */
   record Replacement(int stage, UpstreamSelection.CostedUpstream chosen) {}
 
-  /** Returns the replacement for an answer of this confidence, or empty to accept the answer. */
+  /** Returns the replacement for a response of this confidence, or empty to accept it. */
   Optional<Replacement> replacementFor(int confidence) {
     Map<String, Optional<UpstreamSelection.CostedUpstream>> choices = new HashMap<>();
     Function<String, Optional<UpstreamSelection.CostedUpstream>> upstreamOf =
@@ -402,7 +402,7 @@
     callerResponse.refuse(refusal, request.head().id());
   }
 
-  /** Records the outcome of the request; called before its answer ends. */
+  /** Records the outcome of the request; called before its response ends. */
   void finish(String outcome) {
     components.deadlines().cancel(deadlineTimer);
     Duration duration = elapsed();
@@ -418,7 +418,7 @@
     return components.logLimit().line(logger, request.head().id());
   }
 
-  /** Returns whether enough time is left for an attempt to produce an answer. */
+  /** Returns whether enough time is left for an attempt to produce a response. */
   boolean hasTimeForAttempt() {
     return remainingTime().compareTo(MINIMUM_ATTEMPT_TIME) >= 0;
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/ExchangeAttempt.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/ExchangeAttempt.java
@@ -24,11 +24,11 @@
 import org.oatlug.internal.routing.RequestPriority;
 
 /**
- * One attempt of an exchange at one upstream, and the handling of its answer.
+ * One attempt of an exchange at one upstream, and the handling of its response.
  *
- * <p>{@link UpstreamConnection} owns the connection; this class decides whether the answer is
+ * <p>{@link UpstreamConnection} owns the connection; this class decides whether the response is
  * accepted, dropped or requested again; {@link AttemptFeedback} records the progress and outcome of
- * the attempt. Invariant: once an answer to the caller has begun, it continues only with the events
+ * the attempt. Invariant: once a response to the caller has begun, it continues only with the events
  * that follow. Used from one event loop.
  */
 final class ExchangeAttempt implements UpstreamConnection.Listener {
@@ -182,7 +182,7 @@
   /**
    * Checks the caller and the state of the upstream again before the request is written. On a busy
    * instance the disconnect of the caller may not have been processed yet, and nobody would receive
-   * the answer. The upstream may have begun to drain or asked to back off while the connection was
+   * the response. The upstream may have begun to drain or asked to back off while the connection was
    * opened, which takes long in a process that was suspended.
    */
   @Override
@@ -245,7 +245,7 @@
     boolean failure = head.status() >= FIRST_SERVER_ERROR;
     recordOutcome(failure);
     if (!failure) {
-      logAnswerBegin();
+      logResponseBegin();
       feedback.recordTimeToHead();
     }
     if (failure && retryAfterFailure(head)) {
@@ -257,7 +257,7 @@
     accept(head);
   }
 
-  private void logAnswerBegin() {
+  private void logResponseBegin() {
     FirstTokenForecast forecast = chosen.forecast();
     if (!forecast.equals(FirstTokenForecast.NONE)) {
       logEvent("answer begins expected=" + forecast.timeToFirstToken().toMillis());
@@ -299,7 +299,7 @@
     return true;
   }
 
-  /** Drops a low-confidence answer and tries another model; returns whether it did. */
+  /** Drops a low-confidence response and tries another model; returns whether it did. */
   private boolean replaceWithOtherModel(ResponseHead head) {
     boolean replaceable = route.isCascade() && route.isRepeatable() && !callerResponse.isBegun();
     if (!replaceable || head.confidence().isEmpty()) {
@@ -406,8 +406,8 @@
   }
 
   /**
-   * Returns whether the answer has a length or is chunked. Any other answer ends with its
-   * connection, so a crash of the upstream looks like a complete answer.
+   * Returns whether the response has a length or is chunked. Any other response ends with its
+   * connection, so a crash of the upstream looks like a complete response.
    */
   private boolean isDelimited() {
     return response.getHeader("Content-Length") != null
@@ -439,7 +439,7 @@
   }
 
   /**
-   * Records that the answer was interrupted; returns true if a retry could crash another upstream.
+   * Records that the response was interrupted; returns true if a retry could crash another upstream.
    */
   private boolean recordInterruption() {
     boolean mustNotRetry = exchange.requestGuard().blocksRetry(chosen.row().process());
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayParticipant.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayParticipant.java
@@ -13,12 +13,13 @@
 import org.oatlug.internal.gather.StateReport;
 
 /**
- * Exchanges the gateway's state with other instances: prompts waiting for prefill, prefill speeds,
+ * Exchanges the gateway's state with other instances: prompts waiting for prefill, prefill models,
  * evidence about versions under roll-out and rate limits of upstreams. Owned by one event loop, not
  * thread-safe.
  */
 public final class GatewayParticipant implements ExchangeParticipant {
-  /** The interval at which speeds are sent; they change with each answer but may be 1 s old. */
+  /** The interval at which prefill models are read; each response changes them, but the reported
+   * ones may be 1 s old. */
   private static final Duration PREFILL_MODELS_INTERVAL = Duration.ofSeconds(1);
 
   private final GatewayComponents components;
--- a/org.oatlug/src/org/oatlug/internal/gateway/VersionRule.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/VersionRule.java
@@ -60,7 +60,7 @@
    * @param route the route
    * @param model the model, empty for none
    * @param failed whether the request failed
-   * @param timeToHead the time to the head of the answer
+   * @param timeToHead the time to the response head
    */
   record Answer(
       String service,
--- a/org.oatlug/src/org/oatlug/internal/limit/RetryBudget.java
+++ b/org.oatlug/src/org/oatlug/internal/limit/RetryBudget.java
@@ -31,16 +31,16 @@
   }
 
   /**
-   * Returns a budget that starts with one retry and earns its reserve by first attempts.
+   * Returns a budget that starts with one retry and earns its reserve by tries.
    *
-   * @param share the retries that each first attempt adds
+   * @param share the retries that each try adds
    * @param reserve supplies the current maximum of accumulated retries
    */
   public static RetryBudget earned(double share, DoubleSupplier reserve) {
     return new RetryBudget(share, reserve, 1);
   }
 
-  /** Counts a first attempt. */
+  /** Counts a try, that is, a request of a caller before any retry. */
   public void recordTry() {
     balance = Math.min(reserve.getAsDouble(), balance + share);
   }
