--- a/org.oatlug.entry/src/org/oatlug/entry/GatewayInstance.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/GatewayInstance.java
@@ -124,7 +124,7 @@
     final Future<?> callers = server.listen();
     peerListener
         .listen()
-        .onFailure(failure -> logger.atSevere().withCause(failure).log("cannot listen for peers"));
+        .onFailure(failure -> logger.atSevere().withCause(failure).log("failed to listen for other instances"));
     systems.forEach(TickSystem::tick);
     vertx.setPeriodic(TICK_MILLIS, unused -> systems.forEach(TickSystem::tick));
     return callers
--- a/org.oatlug.entry/src/org/oatlug/entry/SettingsWatcher.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/SettingsWatcher.java
@@ -70,7 +70,7 @@
     try {
       target.applySettings(SettingsFile.readGateway(file));
     } catch (SettingsInvalidException e) {
-      logger.atWarning().log("invalid settings ignored: %s", e.problems());
+      logger.atWarning().log("changed settings are rejected: %s", e.problems());
     }
   }
 
--- a/org.oatlug.test/tst/org/oatlug/test/GatewayStateProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/GatewayStateProcessTest.java
@@ -209,11 +209,11 @@
     cluster.signal(0, "HUP");
     Await.until(
         "the settings are reloaded",
-        () -> Files.readString(cluster.log(0)).contains("settings read anew"));
+        () -> Files.readString(cluster.log(0)).contains("settings reloaded"));
     Files.writeString(cluster.settingsFile(0), "{}");
     Await.until(
         "the settings are rejected",
-        () -> Files.readString(cluster.log(0)).contains("are not taken"));
+        () -> Files.readString(cluster.log(0)).contains("changed settings are rejected"));
     assertEquals(status(0), 200);
   }
 
--- a/org.oatlug/src/org/oatlug/internal/gateway/ExchangeAttempt.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/ExchangeAttempt.java
@@ -100,8 +100,9 @@
   private void logSent() {
     FirstTokenForecast forecast = chosen.forecast();
     exchange.log().log(
-        "attempt=%d route=%s upstream=%s revision=%s version=%s model=%s load=%d left=%d after=%s"
-            + " unread=%.0f waiting=%.0f expected=%d",
+        "attempt=%d route=%s upstream=%s revision=%s version=%s model=%s load=%d"
+            + " remainingMillis=%d lastEventId=%s uncachedTokens=%.0f waitingMillis=%.0f"
+            + " expected=%d",
         exchange.attemptsSent(),
         route.name(),
         chosen.name(),
@@ -275,7 +276,7 @@
     logEvent(
         "refused by upstream status="
             + head.status()
-            + head.backOff().map(backOff -> " rest=" + backOff.toMillis()).orElse(""));
+            + head.backOff().map(backOff -> " backOffMillis=" + backOff.toMillis()).orElse(""));
     if (exchange.tryAcquireRetry(wrongUpstream ? "upstream-moved" : "upstream-refused")) {
       exchange.sendToNextUpstream();
     } else {
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayTables.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayTables.java
@@ -196,8 +196,8 @@
         ended ? upstreams.endEvacuation(zone, this::service) : upstreams.evacuateZone(zone);
     if (changed) {
       logger.atInfo().log(
-          "zone %s is %s revision=%s %s",
-          zone, ended ? "taken back" : "emptied", object.revision(), origin);
+          "availability zone %s %s revision=%s %s",
+          zone, ended ? "is no longer evacuated" : "is evacuated", object.revision(), origin);
     }
   }
 
--- a/org.oatlug/src/org/oatlug/internal/gateway/UpstreamEligibility.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/UpstreamEligibility.java
@@ -51,7 +51,7 @@
     /** It announced in its registration or a response that it is leaving, or is deregistered. */
     LEAVES("the upstream is leaving", "upstream-leaves"),
     /** Its availability zone is evacuated. */
-    ZONE_EMPTIED("the availability zone of the upstream is being drained", "zone-emptied"),
+    ZONE_EMPTIED("the availability zone of the upstream is being evacuated", "zone-emptied"),
     /** It refused a request and asked to back off (Retry-After), and that time is not over. */
     RESTS("the upstream asked to back off", "upstream-rests"),
     /** All its connections are in use. */
