--- a/org.oatlug.entry/src/org/oatlug/entry/EntryInstance.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/EntryInstance.java
@@ -129,7 +129,9 @@
             membership, configuration, new PeerMessageDispatcher(tables, ledger, billing, guard)));
     network
         .listen()
-        .onFailure(failure -> logger.atSevere().withCause(failure).log("failed to listen for other instances"));
+        .onFailure(
+            failure ->
+                logger.atSevere().withCause(failure).log("failed to listen for other instances"));
     AdmissionQueue queue = AdmissionQueue.create();
     PauseDetector pause = PauseDetector.create(clock, () -> confirm(tables, configuration));
     LoadSystem load =
--- a/org.oatlug.entry/src/org/oatlug/entry/GatewayInstance.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/GatewayInstance.java
@@ -124,7 +124,9 @@
     final Future<?> callers = server.listen();
     peerListener
         .listen()
-        .onFailure(failure -> logger.atSevere().withCause(failure).log("failed to listen for other instances"));
+        .onFailure(
+            failure ->
+                logger.atSevere().withCause(failure).log("failed to listen for other instances"));
     systems.forEach(TickSystem::tick);
     vertx.setPeriodic(TICK_MILLIS, unused -> systems.forEach(TickSystem::tick));
     return callers
--- a/org.oatlug/src/org/oatlug/internal/config/ObjectJoin.java
+++ b/org.oatlug/src/org/oatlug/internal/config/ObjectJoin.java
@@ -28,7 +28,11 @@
   /** The number of buckets into which the objects are divided, each with its own digest. */
   public static final int BUCKETS = 64;
 
-  /** Orders states of an object; a tombstone overrides content of equal revision and standing. */
+  /**
+   * Orders states of an object by revision, then by standing, which tells content that the store
+   * holds from newer content known since before a restore; a tombstone overrides content of equal
+   * revision and standing.
+   */
   private static final Comparator<StoredObject> BY_REVISION =
       Comparator.comparing(StoredObject::revision)
           .thenComparing(StoredObject::standing)
--- a/org.oatlug/src/org/oatlug/internal/gateway/ExchangeAttempt.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/ExchangeAttempt.java
@@ -28,8 +28,8 @@
  *
  * <p>{@link UpstreamConnection} owns the connection; this class decides whether the response is
  * accepted, dropped or requested again; {@link AttemptFeedback} records the progress and outcome of
- * the attempt. Invariant: once a response to the caller has begun, it continues only with the events
- * that follow. Used from one event loop.
+ * the attempt. Invariant: once a response to the caller has begun, it continues only with the
+ * events that follow. Used from one event loop.
  */
 final class ExchangeAttempt implements UpstreamConnection.Listener {
   private static final String EVENT_STREAM_TYPE = "text/event-stream";
@@ -183,8 +183,8 @@
   /**
    * Checks the caller and the state of the upstream again before the request is written. On a busy
    * instance the disconnect of the caller may not have been processed yet, and nobody would receive
-   * the response. The upstream may have begun to drain or asked to back off while the connection was
-   * opened, which takes long in a process that was suspended.
+   * the response. The upstream may have begun to drain or asked to back off while the connection
+   * was opened, which takes long in a process that was suspended.
    */
   @Override
   public boolean maySend() {
@@ -440,7 +440,8 @@
   }
 
   /**
-   * Records that the response was interrupted; returns true if a retry could crash another upstream.
+   * Records that the response was interrupted; returns true if a retry could crash another
+   * upstream.
    */
   private boolean recordInterruption() {
     boolean mustNotRetry = exchange.requestGuard().blocksRetry(chosen.row().process());
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayParticipant.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayParticipant.java
@@ -18,8 +18,10 @@
  * thread-safe.
  */
 public final class GatewayParticipant implements ExchangeParticipant {
-  /** The interval at which prefill models are read; each response changes them, but the reported
-   * ones may be 1 s old. */
+  /**
+   * The interval at which prefill models are read; each response changes them, but the reported
+   * ones may be 1 s old.
+   */
   private static final Duration PREFILL_MODELS_INTERVAL = Duration.ofSeconds(1);
 
   private final GatewayComponents components;
--- a/org.oatlug/src/org/oatlug/internal/rollout/CandidateEvidence.java
+++ b/org.oatlug/src/org/oatlug/internal/rollout/CandidateEvidence.java
@@ -7,7 +7,9 @@
  * Evidence of one instance against a candidate version, from errors and from ratings.
  *
  * <p>Invariant: the evidence is the mean of the wealth of the two tests, so it has the same bound
- * on the probability of a false alarm as each of them. Not thread-safe.
+ * on the probability of a false alarm as each of them. The wealth of a test is the factor by which
+ * its bets against the candidate have multiplied an initial 1, see {@link SequentialTest}. Not
+ * thread-safe.
  */
 public final class CandidateEvidence {
   private final SequentialTest errors = SequentialTest.create();
--- a/org.oatlug/src/org/oatlug/internal/rollout/RolloutGuard.java
+++ b/org.oatlug/src/org/oatlug/internal/rollout/RolloutGuard.java
@@ -31,9 +31,11 @@
  *
  * <p>An instance halts its own share on its own evidence. All instances send their evidence to the
  * owner of the roll-out, which adds the logarithms, as the wealths of independent sequential tests
- * multiply, and halts the roll-out at all instances by a conditional update. An update that
- * conflicts with one of an operator is retried only after the operator's object was read. A halted
- * roll-out stays halted until an operator changes it. Owned by one event loop, not thread-safe.
+ * multiply, and halts the roll-out at all instances by a conditional update. The wealth of a test
+ * is the factor by which its bets against the candidate have multiplied an initial 1, see {@link
+ * SequentialTest}. An update that conflicts with one of an operator is retried only after the
+ * operator's object was read. A halted roll-out stays halted until an operator changes it. Owned by
+ * one event loop, not thread-safe.
  */
 public final class RolloutGuard implements TickSystem {
   /** Bound on the probability that all instances together ever halt a good candidate. */
--- a/org.oatlug/src/org/oatlug/platform/StoredObject.java
+++ b/org.oatlug/src/org/oatlug/platform/StoredObject.java
@@ -12,7 +12,8 @@
  * @param key the kind and name
  * @param revision the revision of the store at which it was written
  * @param value the content
- * @param standing how the content relates to that of the store at the revision
+ * @param standing whether the store holds this content at the revision; after a restore the store
+ *     may hold older content than instances have seen
  */
 public record StoredObject(
     ObjectKey key, StoreRevision revision, JsonNode value, Standing standing) {
