--- a/org.oatlug.benchmarks/src/org/oatlug/benchmarks/CascadeBench.java
+++ b/org.oatlug.benchmarks/src/org/oatlug/benchmarks/CascadeBench.java
@@ -88,7 +88,7 @@
           new RatingTable.Subject("desk", name, CASCADE.stages().get(stage));
       ratings.recordSubmission(subject);
       if (number < REQUESTS * ratedFraction) {
-        ratings.rated(subject, meetsTarget);
+        ratings.recordRating(subject, meetsTarget);
       }
     }
     return new double[] {cost / REQUESTS * 1000, (double) targetMet / REQUESTS};
--- a/org.oatlug.entry/src/org/oatlug/entry/EntryInstance.java
+++ b/org.oatlug.entry/src/org/oatlug/entry/EntryInstance.java
@@ -220,7 +220,10 @@
     PeerMessage notice = new PeerMessage.UpstreamLeaving(upstream);
     for (Member peer : membership.live()) {
       if (!membership.isSelf(peer)) {
-        network.ask(peer, notice, LEAVING_TIMEOUT).subscribe().with(done -> {}, failure -> {});
+        network
+            .sendRequest(peer, notice, LEAVING_TIMEOUT)
+            .subscribe()
+            .with(done -> {}, failure -> {});
       }
     }
   }
--- a/org.oatlug.test/tst/org/oatlug/internal/config/VirtualFleet.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/config/VirtualFleet.java
@@ -159,7 +159,7 @@
     }
 
     @Override
-    public Uni<PeerMessage> ask(Member peer, PeerMessage message, Duration timeout) {
+    public Uni<PeerMessage> sendRequest(Member peer, PeerMessage message, Duration timeout) {
       // A seed is addressed by its port, as its name is unknown until it responds.
       Instance target = instances.getOrDefault(peer.name(), instancesByPort.get(peer.peerPort()));
       return Uni.createFrom()
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/CallerLeftTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/CallerDisconnectedTest.java
@@ -25,7 +25,7 @@
  * connection. On a busy instance, the event loop processes everything that was ready earlier in the
  * same iteration, such as an opened connection to the upstream, before it reads the closed socket.
  */
-public class CallerLeftTest {
+public class CallerDisconnectedTest {
   private static final int TIMEOUT_SECONDS = 10;
 
   private GatewayServerFixture server;
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayDecisionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayDecisionTest.java
@@ -460,7 +460,7 @@
       Route route, ResponseTimes times, int confidence, int prefillMillis) {
     return ExpectedValueRule.create(tables, times)
         .replacementStage(
-            new StageRule.LowConfidenceAnswer(
+            new StageRule.LowConfidenceResponse(
                 route,
                 "pool",
                 generation(1000, 300),
@@ -474,7 +474,7 @@
     Route route = route("a", "/x/");
     ExpectedValueRule rule = ExpectedValueRule.create(tables, times);
     return rule.replacementStage(
-        new StageRule.LowConfidenceAnswer(
+        new StageRule.LowConfidenceResponse(
             route,
             "pool",
             generation(1000, 300),
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayServerFixture.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/GatewayServerFixture.java
@@ -182,7 +182,7 @@
     public void recordSent(String service, String version, RequestHead head) {}
 
     @Override
-    public void recordAnswer(Answer answer) {}
+    public void recordResponse(Response answer) {}
 
     @Override
     public void recordEventInterval(EventInterval interval) {}
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/ReadinessGateTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/ReadinessGateTest.java
@@ -13,17 +13,18 @@
 public class ReadinessGateTest {
   private Instant now = Instant.parse("2026-12-02T12:00:00Z");
   private boolean configured;
-  private boolean ordersRead;
+  private boolean objectsRead;
   private boolean sessionsKnown;
 
   private ReadinessGate gate() {
-    return ReadinessGate.create(() -> now, () -> configured, () -> ordersRead, () -> sessionsKnown);
+    return ReadinessGate.create(
+        () -> now, () -> configured, () -> objectsRead, () -> sessionsKnown);
   }
 
   @Test
   public void testAllThreeConditionsAreRequired() {
     final ReadinessGate gate = gate();
-    ordersRead = true;
+    objectsRead = true;
     sessionsKnown = true;
     assertFalse(gate.tryOpen());
     configured = true;
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/RolloutDecisionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/RolloutDecisionTest.java
@@ -69,11 +69,11 @@
       for (String version : List.of("v1", "v2")) {
         boolean fails = random.nextInt(50) == 0;
         Duration took = Duration.ofMillis(100 + random.nextInt(100));
-        good.add(new VersionRule.Answer("pool", version, route, "m", fails, took), now);
+        good.add(new VersionRule.Response("pool", version, route, "m", fails, took), now);
         boolean faulty = version.equals("v2") && random.nextBoolean();
-        bad.add(new VersionRule.Answer("pool", version, route, "m", faulty, took), now);
+        bad.add(new VersionRule.Response("pool", version, route, "m", faulty, took), now);
         Duration slowed = faulty ? took.multipliedBy(8) : took;
-        slow.add(new VersionRule.Answer("pool", version, route, "m", false, slowed), now);
+        slow.add(new VersionRule.Response("pool", version, route, "m", false, slowed), now);
       }
     }
     assertFalse(good.isRefuted());
@@ -121,8 +121,8 @@
     assertTrue(answers < 40, "answers before the refutation: " + answers);
   }
 
-  private static VersionRule.Answer answerAfter(String version, long millis) {
-    return new VersionRule.Answer(
+  private static VersionRule.Response answerAfter(String version, long millis) {
+    return new VersionRule.Response(
         "pool",
         version,
         GatewayDecisionTest.route("a", "/x/"),
--- a/org.oatlug.test/tst/org/oatlug/internal/gateway/NewStartTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gateway/UpstreamRestartTest.java
@@ -32,7 +32,7 @@
  * <p>Guards against state that is keyed by the name alone: prompts are then sent to a restarted
  * process as if it still cached them, and it is ejected for the failures of its predecessor.
  */
-public class NewStartTest {
+public class UpstreamRestartTest {
   private static final String NAME = "i-1";
 
   private Instant now = Instant.parse("2026-12-03T12:00:00Z");
--- a/org.oatlug.test/tst/org/oatlug/internal/gather/StateExchangeFleet.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/gather/StateExchangeFleet.java
@@ -69,7 +69,7 @@
       membership = Membership.create(self, time, new Random(random.nextLong()));
       system =
           StateExchange.create(
-              membership, this::ask, time, Meters.of(new MetricRegistry()), this, ledger);
+              membership, this::sendRequest, time, Meters.of(new MetricRegistry()), this, ledger);
     }
 
     String name() {
@@ -83,7 +83,7 @@
       after(TICK, this::tick);
     }
 
-    private Uni<PeerMessage> ask(Member peer, PeerMessage message, Duration timeout) {
+    private Uni<PeerMessage> sendRequest(Member peer, PeerMessage message, Duration timeout) {
       Instance target = instances.get(peer.name());
       messages++;
       if (!peer.zone().equals(membership.self().zone())) {
--- a/org.oatlug.test/tst/org/oatlug/internal/routing/PlacementTest.java
+++ b/org.oatlug.test/tst/org/oatlug/internal/routing/PlacementTest.java
@@ -18,9 +18,9 @@
 
   private final Instant now = Instant.parse("2026-12-02T12:00:00Z");
 
-  private static double cost(FirstTokenForecast forecast, boolean otherZone, boolean ejected) {
+  private static double cost(FirstTokenForecast forecast, boolean otherZone, boolean avoided) {
     return PlacementCost.of(
-        new PlacementCost.UpstreamState(forecast, 0, 8, otherZone, 0, false, ejected), BODY_BYTES);
+        new PlacementCost.UpstreamState(forecast, 0, 8, otherZone, 0, false, avoided), BODY_BYTES);
   }
 
   @Test
--- a/org.oatlug.test/tst/org/oatlug/test/NamedLimitProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/AdvertisedLimitProcessTest.java
@@ -22,7 +22,7 @@
  * Checks that all instances together keep to the request rate that an upstream advertises. Guards
  * against instances that ignore the limit and send requests at the same rate as before.
  */
-public class NamedLimitProcessTest {
+public class AdvertisedLimitProcessTest {
   private static final int ROUNDS = 60;
   private static final double LIMIT_PER_SECOND = 1;
 
@@ -112,7 +112,7 @@
   }
 
   @Test(dataProvider = "failures")
-  public void testLimitIsReadFromEachResponse(Behaviour behaviour) throws IOException {
+  public void testLimitIsReadFromFailedResponses(Behaviour behaviour) throws IOException {
     start(1);
     limited.setBehaviour(behaviour);
     advertiseLimit(LIMIT_PER_SECOND);
--- a/org.oatlug.test/tst/org/oatlug/test/AnswerProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/AnswerProcessTest.java
@@ -50,21 +50,22 @@
     setEngineFaults("{}");
     setServiceFaults("{}");
     Await.until(
-        "chats succeed again", () -> Http.send(cluster.chat(0, "small", false, 1)).status() == 200);
+        "chats succeed again",
+        () -> Http.send(cluster.chatRequest(0, "small", false, 1)).status() == 200);
     Await.until(
         "orders succeed again",
-        () -> Http.send(cluster.order(0, "mend-" + System.nanoTime())).status() == 200);
+        () -> Http.send(cluster.orderRequest(0, "mend-" + System.nanoTime())).status() == 200);
   }
 
   private void setEngineFaults(String json) throws IOException {
     for (int port : cluster.enginePorts) {
-      cluster.faults(port, json);
+      cluster.setFaults(port, json);
     }
   }
 
   private void setServiceFaults(String json) throws IOException {
     for (int port : cluster.servicePorts) {
-      cluster.faults(port, json);
+      cluster.setFaults(port, json);
     }
   }
 
@@ -85,7 +86,7 @@
   public void testNotRunIsTrueForChats(String faults, boolean mayHaveRun) throws IOException {
     setEngineFaults(faults);
     Http.Response answer =
-        Http.send(cluster.chat(0, "small", false, 4).header("Oatlug-Deadline-Ms", "3000"));
+        Http.send(cluster.chatRequest(0, "small", false, 4).header("Oatlug-Deadline-Ms", "3000"));
     assertFalse(answer.status() == 200, answer.body());
     String id = answer.json().path("requestId").asText();
     boolean recorded =
@@ -108,7 +109,7 @@
   public void testNotRunIsTrueForOrders(String faults, boolean mayHaveRun) throws IOException {
     String key = "fault-" + faults;
     setServiceFaults(faults);
-    Http.Response answer = Http.send(cluster.order(1, key));
+    Http.Response answer = Http.send(cluster.orderRequest(1, key));
     assertFalse(answer.status() == 200, answer.body());
     assertEquals(answer.notRun(), mayHaveRun ? "unknown" : "yes", answer.body());
     assertEquals(cluster.runs().getOrDefault(key, 0), Integer.valueOf(mayHaveRun ? 1 : 0));
@@ -118,7 +119,7 @@
   @Test
   public void testCutStreamEndsWithTypedEvent() throws IOException {
     setEngineFaults("{\"cutAfter\":3}");
-    Http.Response answer = Http.send(cluster.chat(0, "small", true, 10));
+    Http.Response answer = Http.send(cluster.chatRequest(0, "small", true, 10));
     assertTrue(answer.body().contains("event: error"), answer.body());
     assertTrue(answer.body().contains("\"reason\":\"upstream-failed\""), answer.body());
     assertFalse(answer.body().contains("[DONE]"), answer.body());
@@ -129,9 +130,9 @@
   /** A response that carries the id of another request is not forwarded to the caller. */
   @Test
   public void testAnswerOfAnotherRequestIsNotPassedOn() throws IOException {
-    cluster.faults(cluster.enginePorts.get(0), "{\"wrongRequest\":-1}");
+    cluster.setFaults(cluster.enginePorts.get(0), "{\"wrongRequest\":-1}");
     for (int number = 0; number < 10; number++) {
-      Http.Response answer = Http.send(cluster.chat(0, "small", false, 2));
+      Http.Response answer = Http.send(cluster.chatRequest(0, "small", false, 2));
       assertEquals(answer.status(), 200, answer.body());
       assertEquals(answer.json().path("id").asText(), answer.header("Oatlug-Request-Id"));
     }
@@ -143,7 +144,7 @@
     List<CompletableFuture<Http.Response>> answers = new ArrayList<>();
     for (int number = 0; number < 60; number++) {
       boolean stream = number % 2 == 0;
-      answers.add(Http.sendAsync(cluster.chat(number % 2, "small", stream, number + 1)));
+      answers.add(Http.sendAsync(cluster.chatRequest(number % 2, "small", stream, number + 1)));
     }
     for (int number = 0; number < answers.size(); number++) {
       Http.Response answer = answers.get(number).join();
@@ -274,10 +275,10 @@
   @Test
   public void testInvalidHeadersGetTypedRefusal() throws IOException {
     Http.Response deadline =
-        Http.send(cluster.chat(0, "small", false, 1).header("Oatlug-Deadline-Ms", "soon"));
+        Http.send(cluster.chatRequest(0, "small", false, 1).header("Oatlug-Deadline-Ms", "soon"));
     assertEquals(deadline.reason(), "header-invalid", deadline.body());
     Http.Response session =
-        Http.send(cluster.chat(0, "small", false, 1).header("Oatlug-Session", "k1.a.b"));
+        Http.send(cluster.chatRequest(0, "small", false, 1).header("Oatlug-Session", "k1.a.b"));
     assertEquals(session.reason(), "session-invalid", session.body());
   }
 
--- a/org.oatlug.test/tst/org/oatlug/test/AtMostOnceProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/AtMostOnceProcessTest.java
@@ -42,7 +42,7 @@
     List<CompletableFuture<Http.Response>> answers = new ArrayList<>();
     for (int round = 0; round < 20; round++) {
       for (int index = 0; index < INSTANCES; index++) {
-        answers.add(Http.sendAsync(cluster.order(index, "race-" + round)));
+        answers.add(Http.sendAsync(cluster.orderRequest(index, "race-" + round)));
       }
     }
     for (CompletableFuture<Http.Response> answer : answers) {
@@ -51,7 +51,7 @@
     }
     for (int round = 0; round < 20; round++) {
       String key = "race-" + round;
-      Await.until(key + " succeeds", () -> Http.send(cluster.order(0, key)).status() == 200);
+      Await.until(key + " succeeds", () -> Http.send(cluster.orderRequest(0, key)).status() == 200);
       assertEquals(cluster.runs().get(key), Integer.valueOf(1), key);
     }
   }
@@ -60,19 +60,19 @@
   @Test
   public void testOrderThatRanWithoutResponseIsNotRepeated() throws IOException {
     for (int port : cluster.servicePorts) {
-      cluster.faults(port, "{\"cutAfterRun\":1}");
+      cluster.setFaults(port, "{\"cutAfterRun\":1}");
     }
-    Http.Response first = Http.send(cluster.order(0, "cut-1"));
+    Http.Response first = Http.send(cluster.orderRequest(0, "cut-1"));
     assertEquals(first.notRun(), "unknown", first.body());
     for (int index = 0; index < INSTANCES; index++) {
       int instance = index;
       Await.until(
           "the order is refused as may-have-run",
-          () -> Http.send(cluster.order(instance, "cut-1")).reason().equals("may-have-run"));
+          () -> Http.send(cluster.orderRequest(instance, "cut-1")).reason().equals("may-have-run"));
     }
     assertEquals(cluster.runs().get("cut-1"), Integer.valueOf(1));
     for (int port : cluster.servicePorts) {
-      cluster.faults(port, "{}");
+      cluster.setFaults(port, "{}");
     }
   }
 
@@ -82,14 +82,14 @@
    */
   @Test
   public void testUnavailablePlatformRefusesAndDoesNotRun() throws IOException {
-    cluster.faults(cluster.platformPort, "{\"down\":-1}");
-    Http.Response refused = Http.send(cluster.order(0, "away-1"));
+    cluster.setFaults(cluster.platformPort, "{\"down\":-1}");
+    Http.Response refused = Http.send(cluster.orderRequest(0, "away-1"));
     assertEquals(refused.reason(), "ledger-unavailable", refused.body());
     assertEquals(refused.notRun(), "yes");
     assertTrue(!refused.header("Retry-After").isEmpty());
     assertEquals(cluster.runs().get("away-1"), null);
-    cluster.faults(cluster.platformPort, "{}");
-    Await.until("runs", () -> Http.send(cluster.order(1, "away-1")).status() == 200);
+    cluster.setFaults(cluster.platformPort, "{}");
+    Await.until("runs", () -> Http.send(cluster.orderRequest(1, "away-1")).status() == 200);
     assertEquals(cluster.runs().get("away-1"), Integer.valueOf(1));
   }
 
@@ -98,12 +98,12 @@
   public void testLostRepliesRunOnce() throws IOException {
     for (int round = 0; round < 10; round++) {
       String key = "lost-" + round;
-      cluster.faults(cluster.platformPort, "{\"loseReply\":1}");
-      Await.until(key, () -> Http.send(cluster.order(1, key)).status() == 200);
-      Await.until(key, () -> Http.send(cluster.order(2, key)).status() == 200);
+      cluster.setFaults(cluster.platformPort, "{\"loseReply\":1}");
+      Await.until(key, () -> Http.send(cluster.orderRequest(1, key)).status() == 200);
+      Await.until(key, () -> Http.send(cluster.orderRequest(2, key)).status() == 200);
       assertEquals(cluster.runs().get(key), Integer.valueOf(1), key);
     }
-    cluster.faults(cluster.platformPort, "{}");
+    cluster.setFaults(cluster.platformPort, "{}");
   }
 
   /** Instances are killed and suspended in turn while callers retry through the others. */
@@ -114,7 +114,7 @@
       List<CompletableFuture<Http.Response>> answers = new ArrayList<>();
       for (int index = 0; index < INSTANCES; index++) {
         for (int number = 0; number < 5; number++) {
-          answers.add(Http.sendAsync(cluster.order(index, "kill-" + round + "-" + number)));
+          answers.add(Http.sendAsync(cluster.orderRequest(index, "kill-" + round + "-" + number)));
         }
       }
       boolean suspend = round % 2 == 1;
@@ -126,7 +126,7 @@
       for (int number = 0; number < 5; number++) {
         answers.add(
             Http.sendAsync(
-                cluster.order((target + 1) % INSTANCES, "kill-" + round + "-" + number)));
+                cluster.orderRequest((target + 1) % INSTANCES, "kill-" + round + "-" + number)));
       }
       Await.pause(1500);
       if (suspend) {
@@ -140,7 +140,7 @@
         String key = "kill-" + round + "-" + number;
         Await.until(
             key + " has a final outcome",
-            () -> hasFinalOutcome(Http.send(cluster.order(target, key))));
+            () -> hasFinalOutcome(Http.send(cluster.orderRequest(target, key))));
       }
     }
     for (Map.Entry<String, Integer> run : cluster.runs().entrySet()) {
--- a/org.oatlug.test/tst/org/oatlug/test/BillingProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/BillingProcessTest.java
@@ -45,11 +45,11 @@
     List<CompletableFuture<Http.Response>> answers = new ArrayList<>();
     int before = cluster.records().size();
     for (int number = 0; number < 12; number++) {
-      answers.add(Http.sendAsync(cluster.chat(0, "small", true, 150 + 10 * number)));
+      answers.add(Http.sendAsync(cluster.chatRequest(0, "small", true, 150 + 10 * number)));
     }
     Await.until("the engines run its requests", () -> cluster.records().size() >= before + 12);
     for (int number = 0; number < 12; number++) {
-      answers.add(Http.sendAsync(cluster.chat(1, "small", number % 2 == 0, 10)));
+      answers.add(Http.sendAsync(cluster.chatRequest(1, "small", number % 2 == 0, 10)));
     }
     cluster.kill(0);
     answers.forEach(answer -> answer.handle((done, failure) -> true).join());
@@ -64,7 +64,7 @@
     int before = cluster.records().size();
     List<CompletableFuture<Http.Response>> answers = new ArrayList<>();
     for (int number = 0; number < 8; number++) {
-      answers.add(Http.sendAsync(cluster.chat(0, "small", true, 60)));
+      answers.add(Http.sendAsync(cluster.chatRequest(0, "small", true, 60)));
     }
     Await.until("the engines run its requests", () -> cluster.records().size() >= before + 8);
     cluster.signal(0, "STOP");
@@ -89,23 +89,23 @@
   /** Bills of requests answered while the platform is unavailable are queued and entered once. */
   @Test
   public void testBillsAreQueuedWhilePlatformIsUnavailable() throws IOException {
-    cluster.faults(cluster.platformPort, "{\"down\":-1}");
+    cluster.setFaults(cluster.platformPort, "{\"down\":-1}");
     for (int number = 0; number < 10; number++) {
-      Http.Response answer = Http.send(cluster.chat(number % 3, "small", false, 3));
+      Http.Response answer = Http.send(cluster.chatRequest(number % 3, "small", false, 3));
       assertEquals(answer.status(), 200, answer.body());
     }
-    cluster.faults(cluster.platformPort, "{\"loseReply\":2}");
+    cluster.setFaults(cluster.platformPort, "{\"loseReply\":2}");
     assertBilledOnce();
-    cluster.faults(cluster.platformPort, "{}");
+    cluster.setFaults(cluster.platformPort, "{}");
   }
 
   /** A retry with the same idempotency key is answered from the ledger and billed once. */
   @Test
   public void testRetryWithKeyIsBilledOnce() throws IOException {
     Http.Response first =
-        Http.send(cluster.chat(1, "small", false, 4).header("Idempotency-Key", "bill-1"));
+        Http.send(cluster.chatRequest(1, "small", false, 4).header("Idempotency-Key", "bill-1"));
     Http.Response second =
-        Http.send(cluster.chat(2, "small", false, 4).header("Idempotency-Key", "bill-1"));
+        Http.send(cluster.chatRequest(2, "small", false, 4).header("Idempotency-Key", "bill-1"));
     assertEquals(first.status(), 200, first.body());
     assertEquals(second.body(), first.body());
     assertEquals(second.header("Oatlug-Replayed"), "true");
--- a/org.oatlug.test/tst/org/oatlug/test/ConfigurationProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/ConfigurationProcessTest.java
@@ -47,9 +47,9 @@
   /** Removes all injected faults and waits until all instances are ready. */
   @AfterMethod(alwaysRun = true)
   public void removeFaults() throws IOException {
-    cluster.faults(cluster.platformPort, "{}");
+    cluster.setFaults(cluster.platformPort, "{}");
     cluster.platformRelay(0).setMode(TcpRelay.Mode.PASS);
-    cluster.cutZone(0, false);
+    cluster.setZoneIsolated(0, false);
     for (int index = 0; index < INSTANCES; index++) {
       cluster.awaitReady(index);
     }
@@ -85,7 +85,7 @@
   /** Checks that a publish whose response is lost is recognised when it is read back. */
   @Test
   public void testPublishWithLostResponseIsRecognised() throws IOException {
-    cluster.faults(cluster.platformPort, "{\"loseReply\":1}");
+    cluster.setFaults(cluster.platformPort, "{\"loseReply\":1}");
     awaitInForceEverywhere(addVersion());
   }
 
@@ -98,7 +98,7 @@
     TreeMap<Integer, Long> highest = new TreeMap<>();
     String name = addVersion();
     awaitInForceEverywhere(name);
-    cluster.faults(cluster.platformPort, "{\"gap\":2,\"staleRead\":6}");
+    cluster.setFaults(cluster.platformPort, "{\"gap\":2,\"staleRead\":6}");
     for (String step : new String[] {"promote", "retire"}) {
       assertEquals(cluster.oatlug("version", step, name), ExitCode.OK, cluster.lastOutput());
       for (int round = 0; round < 20; round++) {
@@ -140,12 +140,12 @@
   @Test
   public void testIsolatedZoneContinuesToServeAndCatchesUp() throws IOException {
     cluster.platformRelay(0).setMode(TcpRelay.Mode.CUT);
-    cluster.cutZone(0, true);
+    cluster.setZoneIsolated(0, true);
     String name = addVersion();
-    assertEquals(Http.send(cluster.chat(0, "small", false, 2)).status(), 200);
+    assertEquals(Http.send(cluster.chatRequest(0, "small", false, 2)).status(), 200);
     assertFalse(isInForce(0, name));
     cluster.platformRelay(0).setMode(TcpRelay.Mode.PASS);
-    cluster.cutZone(0, false);
+    cluster.setZoneIsolated(0, false);
     awaitInForceEverywhere(name);
   }
 
@@ -154,12 +154,12 @@
   public void testNewInstanceStartsFromPeers() throws IOException {
     String name = addVersion();
     awaitInForceEverywhere(name);
-    cluster.faults(cluster.platformPort, "{\"down\":-1}");
+    cluster.setFaults(cluster.platformPort, "{\"down\":-1}");
     cluster.kill(3);
     cluster.startEntry(3);
     cluster.awaitReady(3);
     Await.until("the configuration of the peers is in force", () -> isInForce(3, name));
-    assertEquals(Http.send(cluster.chat(3, "small", false, 2)).status(), 200);
+    assertEquals(Http.send(cluster.chatRequest(3, "small", false, 2)).status(), 200);
   }
 
   /**
@@ -194,14 +194,15 @@
   /** Checks that a session keeps its version while another version is promoted. */
   @Test(dependsOnMethods = "testRacingOperatorsSeeConflicts")
   public void testSessionKeepsItsVersion() throws IOException {
-    Http.Response first = Http.send(cluster.chat(0, "small", false, 1));
+    Http.Response first = Http.send(cluster.chatRequest(0, "small", false, 1));
     String version = first.header("Oatlug-Version");
     String session = first.header("Oatlug-Session");
     String next = addVersion();
     cluster.oatlug("version", "promote", next, "--wait");
     for (int index = 0; index < INSTANCES; index++) {
       Http.Response answer =
-          Http.send(cluster.chat(index, "small", false, 1).header("Oatlug-Session", session));
+          Http.send(
+              cluster.chatRequest(index, "small", false, 1).header("Oatlug-Session", session));
       assertEquals(answer.header("Oatlug-Version"), version, answer.body());
     }
     cluster.oatlug("version", "promote", "small-v1", "--wait");
@@ -229,7 +230,7 @@
       String version = "";
       for (int index = 0; index < INSTANCES; index++) {
         Http.Response answer =
-            Http.send(cluster.chat(index, "small", false, 1).header("Oatlug-Session", name));
+            Http.send(cluster.chatRequest(index, "small", false, 1).header("Oatlug-Session", name));
         assertEquals(answer.status(), 200, answer.body());
         version = version.isEmpty() ? answer.header("Oatlug-Version") : version;
         assertEquals(answer.header("Oatlug-Version"), version, name);
@@ -259,17 +260,17 @@
         "--wait");
     Await.until("the candidate is used", () -> usesCandidate(0));
     cluster.platformRelay(0).setMode(TcpRelay.Mode.CUT);
-    cluster.cutZone(0, true);
+    cluster.setZoneIsolated(0, true);
     Await.until("the candidate is no longer used", () -> !usesCandidate(0));
     assertTrue(usesCandidate(1), "the other zones continue to use the candidate");
     cluster.platformRelay(0).setMode(TcpRelay.Mode.PASS);
-    cluster.cutZone(0, false);
+    cluster.setZoneIsolated(0, false);
     Await.until("the candidate is used again", () -> usesCandidate(0));
     cluster.oatlug("rollout", "finish", "cut", "--wait");
   }
 
   private boolean usesCandidate(int index) throws IOException {
-    Http.Response answer = Http.send(cluster.chat(index, "small", false, 1));
+    Http.Response answer = Http.send(cluster.chatRequest(index, "small", false, 1));
     return answer.header("Oatlug-Version").equals("small-c");
   }
 
@@ -283,11 +284,12 @@
     cluster.oatlug("version", "promote", next, "--wait");
     Load load = new Load();
     load.start();
-    final String session = Http.send(cluster.chat(0, "small", false, 1)).header("Oatlug-Session");
+    final String session =
+        Http.send(cluster.chatRequest(0, "small", false, 1)).header("Oatlug-Session");
     cluster.signal(1, "STOP");
     List<CompletableFuture<Http.Response>> queued = new ArrayList<>();
     for (int number = 0; number < 30; number++) {
-      queued.add(Http.sendAsync(cluster.chat(1, "small", false, 1)));
+      queued.add(Http.sendAsync(cluster.chatRequest(1, "small", false, 1)));
     }
     cluster.oatlug("version", "promote", "small-v1");
     cluster.oatlug("version", "withdraw", next);
@@ -300,7 +302,7 @@
     final long before = requestsFor(next);
     cluster.signal(1, "CONT");
     for (int number = 0; number < 50; number++) {
-      Http.send(cluster.chat(number % INSTANCES, "small", number % 3 == 0, 1));
+      Http.send(cluster.chatRequest(number % INSTANCES, "small", number % 3 == 0, 1));
     }
     load.stop();
     queued.forEach(answer -> answer.handle((response, failure) -> true).join());
@@ -310,7 +312,7 @@
 
   private boolean isRefusedAsWithdrawn(int index, String session) throws IOException {
     Http.Response answer =
-        Http.send(cluster.chat(index, "small", false, 1).header("Oatlug-Session", session));
+        Http.send(cluster.chatRequest(index, "small", false, 1).header("Oatlug-Session", session));
     if (answer.status() == 200) {
       return false;
     }
@@ -339,7 +341,7 @@
       int number = 0;
       while (running && number < 5000) {
         try {
-          Http.send(cluster.chat(new int[] {0, 2, 3, 4}[number++ % 4], "small", true, 2));
+          Http.send(cluster.chatRequest(new int[] {0, 2, 3, 4}[number++ % 4], "small", true, 2));
         } catch (IOException e) {
           assertFalse(running && number < 0, e.getMessage());
         }
--- a/org.oatlug.test/tst/org/oatlug/test/DecisionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/DecisionTest.java
@@ -143,7 +143,7 @@
       assertEquals(stage, CASCADE.safeStage());
     }
     for (int count = 0; count < 200; count++) {
-      ratings.rated(small, count % 50 != 0);
+      ratings.recordRating(small, count % 50 != 0);
     }
     assertEquals(ConfidentStage.create().choose(CASCADE, "desk", "tag", ratings, random), 0);
   }
--- a/org.oatlug.test/tst/org/oatlug/test/GatewayAnswerProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/GatewayAnswerProcessTest.java
@@ -95,7 +95,7 @@
 
   @Test
   public void testLargeResponseIsForwardedCompletely() throws IOException {
-    cluster.upstreams.values().forEach(upstream -> upstream.setFillBytes(1_000_000));
+    cluster.upstreams.values().forEach(upstream -> upstream.setPaddingBytes(1_000_000));
     Http.Response answer = Http.send(cluster.request(0, SampleObjects.ONCE + "x"));
     assertEquals(answer.status(), 200);
     assertTrue(answer.body().length() > 1_000_000);
@@ -104,7 +104,7 @@
 
   @Test
   public void testTruncatedLargeResponseDoesNotLookComplete() {
-    cluster.upstreams.values().forEach(upstream -> upstream.setFillBytes(1_000_000));
+    cluster.upstreams.values().forEach(upstream -> upstream.setPaddingBytes(1_000_000));
     setBehaviourOfAll(Behaviour.CUTS);
     assertThrows(IOException.class, () -> Http.send(cluster.request(0, SampleObjects.ONCE + "x")));
     int before = cluster.arrivals();
--- a/org.oatlug.test/tst/org/oatlug/test/GatewayStateProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/GatewayStateProcessTest.java
@@ -153,7 +153,7 @@
     cluster.store.put("rollouts", SampleObjects.SERVICE, rolloutOfV2(30));
     cluster.streamUntilRolloutIs("rolled_back");
     cluster.store.delete("rollouts", SampleObjects.SERVICE);
-    candidate.setBehaviour(Behaviour.SOUND);
+    candidate.setBehaviour(Behaviour.NORMAL);
     cluster.store.put("rollouts", SampleObjects.SERVICE, rolloutOfV2(10));
     cluster.streamUntilRolloutIs("succeeded");
   }
--- a/org.oatlug.test/tst/org/oatlug/test/PublisherTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/PublisherTest.java
@@ -65,7 +65,7 @@
 
   /** A publish over an outdated revision fails with a conflict that carries the current object. */
   @Test
-  public void testConcurrentUpdateIsConflictWithExpectedAndCurrent() {
+  public void testConflictCarriesExpectedRevisionAndCurrentObject() {
     FakePlatform platform = FakePlatform.create();
     Publisher publisher = Publisher.to(platform);
     publisher.publish(KEY, version("current")).await().indefinitely();
--- a/org.oatlug.test/tst/org/oatlug/test/RolloutFleet.java
+++ b/org.oatlug.test/tst/org/oatlug/test/RolloutFleet.java
@@ -202,8 +202,8 @@
               .orElse(false);
       String version = selectsNew ? NEW : OLD;
       director.recordSent(SERVICE, version, head);
-      director.recordAnswer(
-          new VersionRule.Answer(SERVICE, version, ROUTE, "", false, Duration.ofMillis(50)));
+      director.recordResponse(
+          new VersionRule.Response(SERVICE, version, ROUTE, "", false, Duration.ofMillis(50)));
       return version;
     }
 
--- a/org.oatlug.test/tst/org/oatlug/test/RolloutRaceTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/RolloutRaceTest.java
@@ -70,8 +70,8 @@
 
     void recordResponses(String version, boolean failed, int count) {
       for (int number = 0; number < count; number++) {
-        director.recordAnswer(
-            new VersionRule.Answer(SERVICE, version, ROUTE, "", failed, Duration.ofMillis(50)));
+        director.recordResponse(
+            new VersionRule.Response(SERVICE, version, ROUTE, "", failed, Duration.ofMillis(50)));
       }
     }
   }
--- a/org.oatlug.test/tst/org/oatlug/test/KeptVersionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/SessionVersionTest.java
@@ -46,7 +46,7 @@
  * evidence against the new version exceeds 1, which a healthy version reaches in up to one of three
  * roll-outs; and a request whose version has no free upstream goes to any version.
  */
-public class KeptVersionTest {
+public class SessionVersionTest {
   private static final Duration ROLLOUT_DURATION = Duration.ofSeconds(24);
 
   private final FakeClock clock = new FakeClock();
@@ -96,10 +96,10 @@
   /** Records enough failures of the new version to make it suspicious but not refuted. */
   private void recordSuspiciousFailures() {
     for (int number = 0; number < 6; number++) {
-      director.recordAnswer(
-          new VersionRule.Answer(SERVICE, OLD, ROUTE, "", false, Duration.ofMillis(50)));
-      director.recordAnswer(
-          new VersionRule.Answer(SERVICE, NEW, ROUTE, "", true, Duration.ofMillis(50)));
+      director.recordResponse(
+          new VersionRule.Response(SERVICE, OLD, ROUTE, "", false, Duration.ofMillis(50)));
+      director.recordResponse(
+          new VersionRule.Response(SERVICE, NEW, ROUTE, "", true, Duration.ofMillis(50)));
     }
     double evidence = director.status().get(0).evidence();
     assertTrue(evidence > 1 && evidence < 5, "evidence " + evidence);
--- a/org.oatlug.test/tst/org/oatlug/test/SilentConnectionTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/SilentConnectionTest.java
@@ -110,7 +110,7 @@
         unused -> {
           vertx.setTimer(1500, timer -> outcome.complete("the timer of the test"));
           callerNetwork
-              .ask(unresponsive, new PeerMessage.Ping(List.of()), REQUEST_TIMEOUT)
+              .sendRequest(unresponsive, new PeerMessage.Ping(List.of()), REQUEST_TIMEOUT)
               .subscribe()
               .with(message -> outcome.complete("answer"), failure -> outcome.complete("failure"));
         });
@@ -122,7 +122,7 @@
     vertx.runOnContext(
         unused ->
             callerNetwork
-                .ask(relayedPeer, new PeerMessage.Ping(List.of()), REQUEST_TIMEOUT)
+                .sendRequest(relayedPeer, new PeerMessage.Ping(List.of()), REQUEST_TIMEOUT)
                 .subscribe()
                 .with(message -> answered.complete(true), failure -> answered.complete(false)));
     return answered.get(WAIT_SECONDS, TimeUnit.SECONDS);
--- a/org.oatlug.test/tst/org/oatlug/test/StopProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/StopProcessTest.java
@@ -40,14 +40,14 @@
   public void testPlannedStopCutsOffNoRequest() throws IOException {
     List<CompletableFuture<Http.Response>> answers = new ArrayList<>();
     for (int number = 0; number < 6; number++) {
-      answers.add(Http.sendAsync(cluster.chat(0, "small", true, 200)));
+      answers.add(Http.sendAsync(cluster.chatRequest(0, "small", true, 200)));
     }
     Await.until("the streams are open", () -> openRequests(0) >= 6 && cluster.records().size() > 0);
     cluster.signal(0, "TERM");
     while (cluster.entry(0).isAlive()) {
       for (int index = 0; index < INSTANCES; index++) {
         if (isReady(index)) {
-          answers.add(Http.sendAsync(cluster.chat(index, "small", true, 3)));
+          answers.add(Http.sendAsync(cluster.chatRequest(index, "small", true, 3)));
         }
       }
       Await.pause(20);
@@ -64,11 +64,11 @@
 
   /** Killing an instance interrupts only its own open requests. */
   @Test(dependsOnMethods = "testPlannedStopCutsOffNoRequest")
-  public void testKilledInstanceCostsOnlyItsOwnRequests() throws IOException {
+  public void testKilledInstanceInterruptsOnlyItsOwnRequests() throws IOException {
     List<CompletableFuture<Http.Response>> answersOfOthers = new ArrayList<>();
     for (int number = 0; number < 6; number++) {
-      answersOfOthers.add(Http.sendAsync(cluster.chat(1 + number % 2, "small", true, 100)));
-      Http.sendAsync(cluster.chat(0, "small", true, 100));
+      answersOfOthers.add(Http.sendAsync(cluster.chatRequest(1 + number % 2, "small", true, 100)));
+      Http.sendAsync(cluster.chatRequest(0, "small", true, 100));
     }
     Await.until("the streams are open", () -> openRequests(0) >= 6);
     cluster.kill(0);
@@ -80,9 +80,9 @@
   }
 
   /** An upstream that reports leaving gets no new requests, although its published object lags. */
-  @Test(dependsOnMethods = "testKilledInstanceCostsOnlyItsOwnRequests")
-  public void testLeavingUpstreamGetsNothingNew() throws IOException {
-    cluster.faults(cluster.enginePorts.get(0), "{\"leaving\":1}");
+  @Test(dependsOnMethods = "testKilledInstanceInterruptsOnlyItsOwnRequests")
+  public void testLeavingUpstreamGetsNoNewRequests() throws IOException {
+    cluster.setFaults(cluster.enginePorts.get(0), "{\"leaving\":1}");
     for (int index = 0; index < INSTANCES; index++) {
       int instance = index;
       Await.until(
@@ -90,7 +90,7 @@
     }
     int before = Http.get(cluster.enginePorts.get(0), "/records").json().size();
     for (int number = 0; number < 60; number++) {
-      Http.Response answer = Http.send(cluster.chat(number % INSTANCES, "small", false, 1));
+      Http.Response answer = Http.send(cluster.chatRequest(number % INSTANCES, "small", false, 1));
       assertEquals(answer.status(), 200, answer.body());
     }
     assertEquals(Http.get(cluster.enginePorts.get(0), "/records").json().size(), before);
--- a/org.oatlug.test/tst/org/oatlug/test/TestCluster.java
+++ b/org.oatlug.test/tst/org/oatlug/test/TestCluster.java
@@ -340,7 +340,7 @@
   }
 
   /** Isolates the zone of an instance from the instances of other zones, or reconnects it. */
-  void cutZone(int index, boolean cut) {
+  void setZoneIsolated(int index, boolean cut) {
     int zone = index % ZONES.length;
     for (Map.Entry<Integer, TcpRelay> relay : peerRelays.entrySet()) {
       boolean sameZone = relay.getKey() % ZONES.length == zone;
@@ -367,7 +367,7 @@
   }
 
   /** Sets the faults that a stand-in injects. */
-  void faults(int port, String json) throws IOException {
+  void setFaults(int port, String json) throws IOException {
     Http.put(port, "/faults", json);
   }
 
@@ -399,14 +399,14 @@
     return bills;
   }
 
-  HttpRequest.Builder order(int index, String key) {
+  HttpRequest.Builder orderRequest(int index, String key) {
     return Http.to(callerPort(index), "/v1/services/parts/orders")
         .header("Authorization", "Bearer " + KEY)
         .header("Idempotency-Key", key)
         .POST(HttpRequest.BodyPublishers.ofString("{\"part\":\"cleat\"}"));
   }
 
-  HttpRequest.Builder chat(int index, String model, boolean stream, int tokens) {
+  HttpRequest.Builder chatRequest(int index, String model, boolean stream, int tokens) {
     String body =
         "{\"model\":\""
             + model
--- a/org.oatlug.test/tst/org/oatlug/test/TlsProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/TlsProcessTest.java
@@ -58,7 +58,7 @@
             .join();
     assertEquals(answer.statusCode(), 200, answer.bodyAsString());
     vertx.close().toCompletionStage().toCompletableFuture().join();
-    assertThrows(IOException.class, () -> Http.send(cluster.chat(0, "small", false, 1)));
+    assertThrows(IOException.class, () -> Http.send(cluster.chatRequest(0, "small", false, 1)));
   }
 
   /** Peers discover each other and agree on the configuration over TLS. */
--- a/org.oatlug.test/tst/org/oatlug/test/UpstreamSaysProcessTest.java
+++ b/org.oatlug.test/tst/org/oatlug/test/UpstreamHeadersProcessTest.java
@@ -26,7 +26,7 @@
  * received it: one instance then logged {@code refused by upstream status=503} 57 times for one
  * upstream.
  */
-public class UpstreamSaysProcessTest {
+public class UpstreamHeadersProcessTest {
   /**
    * Bounds the attempts until an upstream is selected. Upstreams of equal cost are selected at
    * random, so the probability that one is never selected is negligible.
@@ -77,7 +77,7 @@
   @DataProvider
   Object[][] answers() {
     return new Object[][] {
-      {Behaviour.SOUND},
+      {Behaviour.NORMAL},
       {Behaviour.REFUSES},
       {Behaviour.FAILS},
       {Behaviour.RESPONDS_TO_ANOTHER_REQUEST}
@@ -127,14 +127,14 @@
   }
 
   @Test
-  public void testBackoffEndsInTimeAndWithRestart() throws IOException {
+  public void testBackoffEndsAfterItsDurationOrWithRestart() throws IOException {
     first.setBehaviour(Behaviour.REFUSES);
     first.setRetryAfter("0.05");
     sendUntilReceived(first);
     Await.until("the upstream gets a request again", () -> receivesRequest(first));
     first.setRetryAfter("600");
     Await.until("the upstream asks for a long back-off", () -> receivesRequest(first));
-    first.setBehaviour(Behaviour.SOUND);
+    first.setBehaviour(Behaviour.NORMAL);
     cluster.store.put("servers", "i-1", cluster.entryOf("i-1").put("born", 5));
     cluster.store.put("servers", "i-1", cluster.entryOf("i-1").put("born", 7));
     Await.until("the restarted upstream gets a request", () -> receivesRequest(first));
--- a/org.oatlug/src/org/oatlug/gateway/AttemptTerms.java
+++ b/org.oatlug/src/org/oatlug/gateway/AttemptMetadata.java
@@ -18,7 +18,7 @@
  * @param resumeAfter the number of the last event that the caller received, if a stream is resumed
  * @param priority the priority at the upstream, 0 is the most urgent
  */
-public record AttemptTerms(
+public record AttemptMetadata(
     String upstream,
     Optional<String> workspace,
     Duration timeLeft,
--- a/org.oatlug/src/org/oatlug/gateway/ServiceRollout.java
+++ b/org.oatlug/src/org/oatlug/gateway/ServiceRollout.java
@@ -69,7 +69,7 @@
    * Returns whether both are states of the same roll-out. A request that was written again after a
    * restore of the store has a new revision, so across epochs the target alone identifies it.
    */
-  public boolean isSameOrderAs(ServiceRollout other) {
+  public boolean isSameRolloutAs(ServiceRollout other) {
     boolean sameTarget = service.equals(other.service) && targetVersion.equals(other.targetVersion);
     boolean restored = orderedAt.epoch() != other.orderedAt.epoch();
     return sameTarget && (restored || orderedAt.equals(other.orderedAt));
--- a/org.oatlug/src/org/oatlug/gateway/UpstreamProtocol.java
+++ b/org.oatlug/src/org/oatlug/gateway/UpstreamProtocol.java
@@ -9,8 +9,8 @@
 /** Encodes requests to upstreams and decodes their responses. Implementations are stateless. */
 public interface UpstreamProtocol {
 
-  /** Adds the terms of an attempt to the headers of a request. */
-  void addTerms(MultiMap headers, AttemptTerms terms);
+  /** Adds the metadata of an attempt to the headers of a request. */
+  void addMetadata(MultiMap headers, AttemptMetadata metadata);
 
   /** Decodes the head of a response. */
   ResponseHead read(HttpClientResponse response);
--- a/org.oatlug/src/org/oatlug/internal/billing/BillingSystem.java
+++ b/org.oatlug/src/org/oatlug/internal/billing/BillingSystem.java
@@ -215,7 +215,7 @@
     PeerMessage message = new PeerMessage.DropBills(List.of(id));
     for (Member witness : selected) {
       network
-          .ask(witness, message, WITNESS_TIMEOUT)
+          .sendRequest(witness, message, WITNESS_TIMEOUT)
           .subscribe()
           .with(response -> {}, failure -> {});
     }
@@ -224,7 +224,7 @@
   private Uni<Void> sendToWitnesses(Bill bill) {
     List<Uni<PeerMessage>> requests = new ArrayList<>();
     for (Member witness : witnesses.getOrDefault(bill.id(), List.of())) {
-      requests.add(network.ask(witness, new PeerMessage.HoldBill(bill), WITNESS_TIMEOUT));
+      requests.add(network.sendRequest(witness, new PeerMessage.HoldBill(bill), WITNESS_TIMEOUT));
     }
     if (requests.isEmpty()) {
       return Uni.createFrom().voidItem();
--- a/org.oatlug/src/org/oatlug/internal/cascade/RatingTable.java
+++ b/org.oatlug/src/org/oatlug/internal/cascade/RatingTable.java
@@ -36,7 +36,7 @@
   }
 
   /** Records the rating of a submitted response. */
-  public void rated(Subject subject, boolean met) {
+  public void recordRating(Subject subject, boolean met) {
     Counts previous = counts(subject);
     double decay = previous.total() >= MAXIMUM_RATINGS ? 1 - 1 / MAXIMUM_RATINGS : 1;
     double newMet = previous.met() * decay + (met ? 1 : 0);
--- a/org.oatlug/src/org/oatlug/internal/config/ConfigurationSystem.java
+++ b/org.oatlug/src/org/oatlug/internal/config/ConfigurationSystem.java
@@ -254,7 +254,7 @@
     @Override
     public Uni<Boolean> isInSync(Member peer) {
       return network
-          .ask(peer, ownDigest(), SYNC_TIMEOUT)
+          .sendRequest(peer, ownDigest(), SYNC_TIMEOUT)
           .map(answer -> ((PeerMessage.Digest) answer).inSync());
     }
 
@@ -330,7 +330,7 @@
 
   private Uni<Void> exchangeWith(Member peer) {
     return network
-        .ask(peer, ownDigest(), EXCHANGE_TIMEOUT)
+        .sendRequest(peer, ownDigest(), EXCHANGE_TIMEOUT)
         .onItem()
         .transformToUni(answer -> compareDigests(peer, (PeerMessage.Digest) answer));
   }
@@ -343,7 +343,7 @@
     }
     long[] own = objects.join().bucketDigests();
     return network
-        .ask(peer, new PeerMessage.BucketDigests(own, contactAgeMillis()), EXCHANGE_TIMEOUT)
+        .sendRequest(peer, new PeerMessage.BucketDigests(own, contactAgeMillis()), EXCHANGE_TIMEOUT)
         .invoke(answer -> mergeDifference(peer, (PeerMessage.Objects) answer))
         .invoke(unused -> syncedAllFromPeer |= digest.readAll())
         .replaceWithVoid();
--- a/org.oatlug/src/org/oatlug/internal/config/ObjectBroadcaster.java
+++ b/org.oatlug/src/org/oatlug/internal/config/ObjectBroadcaster.java
@@ -181,7 +181,7 @@
 
   private void send(Member peer, PeerMessage.Objects message, Runnable onFailure) {
     network
-        .ask(peer, message, PUSH_TIMEOUT)
+        .sendRequest(peer, message, PUSH_TIMEOUT)
         .subscribe()
         .with(
             answer -> {},
--- a/org.oatlug/src/org/oatlug/internal/config/ReaderRole.java
+++ b/org.oatlug/src/org/oatlug/internal/config/ReaderRole.java
@@ -147,7 +147,7 @@
   private void requestFrom(List<Member> candidates, int remainingRequests) {
     Member candidate = candidates.get(refusals % candidates.size());
     network
-        .ask(candidate, new PeerMessage.ReadInstead(), REQUEST_TIMEOUT)
+        .sendRequest(candidate, new PeerMessage.ReadInstead(), REQUEST_TIMEOUT)
         .subscribe()
         .with(
             answer ->
--- a/org.oatlug/src/org/oatlug/internal/config/StoreWatch.java
+++ b/org.oatlug/src/org/oatlug/internal/config/StoreWatch.java
@@ -70,7 +70,7 @@
   private final Owner owner;
   private Optional<Cancellable> openCall = Optional.empty();
   private StoreRevision revision = StoreRevision.NONE;
-  private long epoch = StoreEpoch.UNNAMED;
+  private long epoch = StoreEpoch.UNREPORTED;
   private Instant epochSince = Instant.EPOCH;
   private boolean hasBeenRead;
   private int consecutiveFailures;
@@ -156,7 +156,7 @@
     if (newest <= epoch) {
       return;
     }
-    if (epoch != StoreEpoch.UNNAMED) {
+    if (epoch != StoreEpoch.UNREPORTED) {
       tolerateMissing();
     }
     epoch = newest;
--- a/org.oatlug/src/org/oatlug/internal/gateway/AttemptFeedback.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/AttemptFeedback.java
@@ -198,8 +198,8 @@
   void recordOutcome(boolean failed) {
     components
         .versions()
-        .recordAnswer(
-            new VersionRule.Answer(
+        .recordResponse(
+            new VersionRule.Response(
                 request.service(),
                 chosen.upstream().version(),
                 request.route(),
--- a/org.oatlug/src/org/oatlug/internal/gateway/Exchange.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/Exchange.java
@@ -312,8 +312,8 @@
     Map<String, Optional<UpstreamSelection.CostedUpstream>> choices = new HashMap<>();
     Function<String, Optional<UpstreamSelection.CostedUpstream>> upstreamOf =
         name -> choices.computeIfAbsent(name, modelName -> choose(Optional.of(modelName)));
-    StageRule.LowConfidenceAnswer lowConfidenceAnswer =
-        new StageRule.LowConfidenceAnswer(
+    StageRule.LowConfidenceResponse lowConfidenceResponse =
+        new StageRule.LowConfidenceResponse(
             route,
             request.service(),
             generation(),
@@ -325,7 +325,7 @@
                     .apply(name)
                     .map(UpstreamSelection.CostedUpstream::forecast)
                     .orElse(FirstTokenForecast.NEVER));
-    OptionalInt nextStage = components.stages().replacementStage(lowConfidenceAnswer);
+    OptionalInt nextStage = components.stages().replacementStage(lowConfidenceResponse);
     if (nextStage.isEmpty()) {
       return Optional.empty();
     }
--- a/org.oatlug/src/org/oatlug/internal/gateway/ExchangeAttempt.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/ExchangeAttempt.java
@@ -13,7 +13,7 @@
 import org.oatlug.api.RefusalReason;
 import org.oatlug.errors.ErrorText;
 import org.oatlug.errors.UpstreamFailedException.Progress;
-import org.oatlug.gateway.AttemptTerms;
+import org.oatlug.gateway.AttemptMetadata;
 import org.oatlug.gateway.ResponseHead;
 import org.oatlug.gateway.Route;
 import org.oatlug.gateway.RouteKind;
@@ -89,7 +89,7 @@
       exchange.requestGuard().startIsolated(chosen.name());
     }
     headers.addAll(request.headers());
-    components.adapter().upstreams().addTerms(headers, terms());
+    components.adapter().upstreams().addMetadata(headers, metadata());
     logSent();
     connection = UpstreamConnection.start(components.client(), outgoingRequest(), this);
     if (route.isRepeatable() && !released) {
@@ -144,8 +144,8 @@
     }
   }
 
-  private AttemptTerms terms() {
-    return new AttemptTerms(
+  private AttemptMetadata metadata() {
+    return new AttemptMetadata(
         chosen.name(),
         request.workspace().map(WorkspaceKeys::name),
         exchange.remainingTime(),
@@ -216,7 +216,7 @@
     }
     // Updates the remaining time: the host may have been suspended since the headers were first
     // composed.
-    components.adapter().upstreams().addTerms(headers, terms());
+    components.adapter().upstreams().addMetadata(headers, metadata());
     return true;
   }
 
--- a/org.oatlug/src/org/oatlug/internal/gateway/ExpectedValueRule.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/ExpectedValueRule.java
@@ -74,7 +74,7 @@
   }
 
   @Override
-  public OptionalInt replacementStage(LowConfidenceAnswer answer) {
+  public OptionalInt replacementStage(LowConfidenceResponse answer) {
     int largest = answer.route().models().size() - 1;
     if (answer.stage() >= largest) {
       return OptionalInt.empty();
@@ -101,13 +101,13 @@
    * it, and the longer it takes, the more of them are late. It is zero on a route without a goal,
    * where no response counts as late.
    */
-  private static double queueingLoss(LowConfidenceAnswer answer, FirstTokenForecast forecast) {
+  private static double queueingLoss(LowConfidenceResponse answer, FirstTokenForecast forecast) {
     long goal = answer.route().goalMillis();
     return goal > 0 ? QUEUEING_LOSS * forecast.prefillMillis() / goal : 0;
   }
 
   private double expectedValue(
-      LowConfidenceAnswer answer, String model, FirstTokenForecast forecast) {
+      LowConfidenceResponse answer, String model, FirstTokenForecast forecast) {
     Duration remaining = Duration.ofMillis(answer.route().goalMillis()).minus(answer.elapsed());
     ResponseTimes.Key key =
         new ResponseTimes.Key(answer.route(), model, forecast.timeToFirstToken());
@@ -116,7 +116,7 @@
   }
 
   /** Returns the price of the model for the request relative to the credit of the request. */
-  private double relativePrice(LowConfidenceAnswer answer, String model) {
+  private double relativePrice(LowConfidenceResponse answer, String model) {
     Generation generation = answer.generation();
     double promptTokens = generation.promptTokens();
     double outputTokens = generation.lengthHint().orElse(generation.maximumTokens());
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayRules.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayRules.java
@@ -104,7 +104,7 @@
       ServiceRollout earlierRollout =
           Json.STRICT.treeToValue(earlier.value(), ServiceRollout.class);
       ServiceRollout laterRollout = Json.STRICT.treeToValue(later.value(), ServiceRollout.class);
-      if (!earlierRollout.isSameOrderAs(laterRollout)
+      if (!earlierRollout.isSameRolloutAs(laterRollout)
           || earlierRollout.stage() <= laterRollout.stage()) {
         return Optional.empty();
       }
--- a/org.oatlug/src/org/oatlug/internal/gateway/GatewayTables.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/GatewayTables.java
@@ -57,7 +57,7 @@
   private Optional<RoutingConfiguration> configuration = Optional.empty();
   private RouteIndex routes = RouteIndex.empty();
   private KeyIndex keys = KeyIndex.notRequired();
-  private long epoch = StoreEpoch.UNNAMED;
+  private long epoch = StoreEpoch.UNREPORTED;
   private Instant epochSince;
 
   private GatewayTables(InstantSource clock) {
--- a/org.oatlug/src/org/oatlug/internal/gateway/ReadinessGate.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/ReadinessGate.java
@@ -24,7 +24,7 @@
 
   private final InstantSource clock;
   private final BooleanSupplier configured;
-  private final BooleanSupplier ordersRead;
+  private final BooleanSupplier objectsRead;
   private final BooleanSupplier sessionsKnown;
   private Optional<Instant> configuredAt = Optional.empty();
   private boolean open;
@@ -32,11 +32,11 @@
   private ReadinessGate(
       InstantSource clock,
       BooleanSupplier configured,
-      BooleanSupplier ordersRead,
+      BooleanSupplier objectsRead,
       BooleanSupplier sessionsKnown) {
     this.clock = clock;
     this.configured = configured;
-    this.ordersRead = ordersRead;
+    this.objectsRead = objectsRead;
     this.sessionsKnown = sessionsKnown;
   }
 
@@ -44,16 +44,16 @@
    * Returns a closed gate.
    *
    * @param configured whether a configuration is in force
-   * @param ordersRead whether all kinds of objects have been read
+   * @param objectsRead whether all kinds of objects have been read
    * @param sessionsKnown whether no roll-out is running or the sessions of other instances are
    *     known
    */
   public static ReadinessGate create(
       InstantSource clock,
       BooleanSupplier configured,
-      BooleanSupplier ordersRead,
+      BooleanSupplier objectsRead,
       BooleanSupplier sessionsKnown) {
-    return new ReadinessGate(clock, configured, ordersRead, sessionsKnown);
+    return new ReadinessGate(clock, configured, objectsRead, sessionsKnown);
   }
 
   /** Returns whether the instance may serve. */
@@ -68,7 +68,7 @@
     }
     Instant now = clock.instant();
     configuredAt = configuredAt.or(() -> Optional.of(now));
-    boolean loaded = ordersRead.getAsBoolean() && sessionsKnown.getAsBoolean();
+    boolean loaded = objectsRead.getAsBoolean() && sessionsKnown.getAsBoolean();
     open = loaded || now.isAfter(configuredAt.get().plus(MAXIMUM_WAIT));
     return open;
   }
--- a/org.oatlug/src/org/oatlug/internal/gateway/RolloutDirector.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RolloutDirector.java
@@ -202,7 +202,7 @@
   }
 
   @Override
-  public void recordAnswer(Answer answer) {
+  public void recordResponse(Response answer) {
     updateTrial(answer.service(), trial -> trial.add(answer, clock.instant()));
   }
 
--- a/org.oatlug/src/org/oatlug/internal/gateway/RolloutTrial.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RolloutTrial.java
@@ -116,7 +116,7 @@
   }
 
   /** Adds an answer seen by this instance. */
-  void add(VersionRule.Answer answer, Instant now) {
+  void add(VersionRule.Response answer, Instant now) {
     boolean ofCandidate = answer.version().equals(version);
     localAnswers += ofCandidate ? 1 : 0;
     add(failures, ofCandidate, answer.failed());
@@ -145,9 +145,9 @@
 
   private static void add(SequentialTest test, boolean ofCandidate, boolean bad) {
     if (ofCandidate) {
-      test.candidate(bad);
+      test.recordCandidate(bad);
     } else {
-      test.current(bad);
+      test.recordCurrent(bad);
     }
   }
 
--- a/org.oatlug/src/org/oatlug/internal/gateway/RouteExplanation.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/RouteExplanation.java
@@ -150,8 +150,8 @@
   private static int minimumConfidence(
       GatewayComponents components, Route route, UpstreamSelection.Criteria criteria, int stage) {
     for (int confidence = 0; confidence < MAXIMUM_CONFIDENCE; confidence++) {
-      StageRule.LowConfidenceAnswer answer =
-          new StageRule.LowConfidenceAnswer(
+      StageRule.LowConfidenceResponse answer =
+          new StageRule.LowConfidenceResponse(
               route,
               criteria.service(),
               criteria.generation().orElse(Generation.UNKNOWN),
--- a/org.oatlug/src/org/oatlug/internal/gateway/StageRule.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/StageRule.java
@@ -33,7 +33,7 @@
    * @param forecastOf the forecast of the time to the head for a model, at the upstream that would
    *     be chosen
    */
-  record LowConfidenceAnswer(
+  record LowConfidenceResponse(
       Route route,
       String service,
       Generation generation,
@@ -43,5 +43,5 @@
       Function<String, FirstTokenForecast> forecastOf) {}
 
   /** Returns the stage that is to replace the answer, empty to accept the answer. */
-  OptionalInt replacementStage(LowConfidenceAnswer answer);
+  OptionalInt replacementStage(LowConfidenceResponse answer);
 }
--- a/org.oatlug/src/org/oatlug/internal/gateway/VersionRule.java
+++ b/org.oatlug/src/org/oatlug/internal/gateway/VersionRule.java
@@ -62,7 +62,7 @@
    * @param failed whether the request failed
    * @param timeToHead the time to the response head
    */
-  record Answer(
+  record Response(
       String service,
       String version,
       Route route,
@@ -82,7 +82,7 @@
   void recordSent(String service, String version, RequestHead head);
 
   /** Records an answer. */
-  void recordAnswer(Answer answer);
+  void recordResponse(Response response);
 
   /**
    * The mean interval at which a version generates the events of a stream.
--- a/org.oatlug/src/org/oatlug/internal/gather/StateExchange.java
+++ b/org.oatlug/src/org/oatlug/internal/gather/StateExchange.java
@@ -184,7 +184,7 @@
             crashChanges,
             crashReplication.readRevision(peer));
     network
-        .ask(peer, request, TIMEOUT)
+        .sendRequest(peer, request, TIMEOUT)
         .subscribe()
         .with(
             response -> {
@@ -276,7 +276,7 @@
     pushedCrashRevision = ledger.revision();
     for (Member peer : membership.zonePeers()) {
       network
-          .ask(peer, new PeerMessage.Crashes(changes), TIMEOUT)
+          .sendRequest(peer, new PeerMessage.Crashes(changes), TIMEOUT)
           .subscribe()
           .with(response -> {}, failure -> sendFailed(peer, failure));
     }
@@ -297,7 +297,7 @@
         new PeerMessage.ZoneAccount(
             membership.self().zone(), update.report(), update.sessions(), crashChanges);
     network
-        .ask(peer, message, TIMEOUT)
+        .sendRequest(peer, message, TIMEOUT)
         .subscribe()
         .with(
             response -> {
@@ -319,7 +319,7 @@
       for (Member peer : membership.zonePeers()) {
         StateReport others = aggregator.sumExcept(peer.process(), now);
         network
-            .ask(peer, pushOf(others), TIMEOUT)
+            .sendRequest(peer, pushOf(others), TIMEOUT)
             .subscribe()
             .with(response -> {}, failure -> sendFailed(peer, failure));
       }
@@ -394,7 +394,7 @@
 
   private void forward(Member peer, PeerMessage.ZoneAccount zone) {
     network
-        .ask(peer, zone, TIMEOUT)
+        .sendRequest(peer, zone, TIMEOUT)
         .subscribe()
         .with(response -> {}, failure -> sendFailed(peer, failure));
   }
--- a/org.oatlug/src/org/oatlug/internal/http/ChatPlan.java
+++ b/org.oatlug/src/org/oatlug/internal/http/ChatPlan.java
@@ -379,11 +379,12 @@
         .rating()
         .rate(answer)
         .invoke(
-            satisfied -> satisfied.ifPresent(isSatisfied -> rated(route, subject, isSatisfied)));
+            satisfied ->
+                satisfied.ifPresent(isSatisfied -> recordRating(route, subject, isSatisfied)));
   }
 
-  private void rated(Route route, RatingTable.Subject subject, boolean satisfied) {
-    services.tables().ratings().rated(subject, satisfied);
+  private void recordRating(Route route, RatingTable.Subject subject, boolean satisfied) {
+    services.tables().ratings().recordRating(subject, satisfied);
     services
         .guard()
         .recordOutcome(route.model(), route.version(), RolloutGuard.Measure.RATINGS, !satisfied);
--- a/org.oatlug/src/org/oatlug/internal/http/OperatorServer.java
+++ b/org.oatlug/src/org/oatlug/internal/http/OperatorServer.java
@@ -171,7 +171,7 @@
   private Uni<StoreRevision> revisionAt(Member member, ObjectKey key) {
     return services
         .network()
-        .ask(member, new PeerMessage.VersionQuery(key), PEER_TIMEOUT)
+        .sendRequest(member, new PeerMessage.VersionQuery(key), PEER_TIMEOUT)
         .map(message -> ((PeerMessage.VersionAnswer) message).revision())
         .onFailure()
         .recoverWithItem(StoreRevision.NONE);
--- a/org.oatlug/src/org/oatlug/internal/ledger/Ledger.java
+++ b/org.oatlug/src/org/oatlug/internal/ledger/Ledger.java
@@ -109,7 +109,7 @@
       return shard.submit(entry);
     }
     return network
-        .ask(owner.get(), new PeerMessage.Submit(name, List.of(entry)), timeout)
+        .sendRequest(owner.get(), new PeerMessage.Submit(name, List.of(entry)), timeout)
         .onItem()
         .transformToUni(Ledger::firstResult)
         .onFailure()
--- a/org.oatlug/src/org/oatlug/internal/membership/Membership.java
+++ b/org.oatlug/src/org/oatlug/internal/membership/Membership.java
@@ -350,7 +350,7 @@
     }
     Member seed = seedAt(address);
     network
-        .ask(seed, new PeerMessage.Ping(takeUpdates()), PROBE_TIMEOUT)
+        .sendRequest(seed, new PeerMessage.Ping(takeUpdates()), PROBE_TIMEOUT)
         .subscribe()
         .with(
             response -> handleResponse(seed, response),
@@ -396,7 +396,7 @@
 
   private Uni<PeerMessage> ping(Member target) {
     return network
-        .ask(target, new PeerMessage.Ping(takeUpdates()), PROBE_TIMEOUT)
+        .sendRequest(target, new PeerMessage.Ping(takeUpdates()), PROBE_TIMEOUT)
         .invoke(response -> handleResponse(target, response))
         .onFailure()
         .invoke(unused -> markUnreachable(target));
@@ -420,7 +420,8 @@
       Member helper = helpers.remove(random.nextInt(helpers.size()));
       PeerMessage request = new PeerMessage.PingFor(target.name(), takeUpdates());
       Duration timeout = PROBE_TIMEOUT.multipliedBy(2);
-      attempt = attempt.onFailure().recoverWithUni(() -> network.ask(helper, request, timeout));
+      attempt =
+          attempt.onFailure().recoverWithUni(() -> network.sendRequest(helper, request, timeout));
     }
     return attempt;
   }
--- a/org.oatlug/src/org/oatlug/internal/peer/MeteredPeerNetwork.java
+++ b/org.oatlug/src/org/oatlug/internal/peer/MeteredPeerNetwork.java
@@ -31,12 +31,12 @@
   }
 
   @Override
-  public Uni<PeerMessage> ask(Member peer, PeerMessage message, Duration timeout) {
+  public Uni<PeerMessage> sendRequest(Member peer, PeerMessage message, Duration timeout) {
     String type = message.getClass().getSimpleName();
     boolean inOwnZone = peer.zone().equals(self.get().zone());
     meters.count("peer.asked." + type + (inOwnZone ? ".own-zone" : ".other-zone"));
     return delegate
-        .ask(peer, message, timeout)
+        .sendRequest(peer, message, timeout)
         .onFailure()
         .invoke(() -> meters.count("peer.unanswered." + type));
   }
--- a/org.oatlug/src/org/oatlug/internal/peer/PeerConnection.java
+++ b/org.oatlug/src/org/oatlug/internal/peer/PeerConnection.java
@@ -62,7 +62,7 @@
         .forEach(completion -> completion.accept(new PeerMessage.Failed("connection closed")));
   }
 
-  Uni<PeerMessage> ask(PeerMessage message, Duration timeout) {
+  Uni<PeerMessage> sendRequest(PeerMessage message, Duration timeout) {
     return Uni.createFrom().emitter(emitter -> send(message, timeout, emitter));
   }
 
--- a/org.oatlug/src/org/oatlug/internal/peer/PeerNetwork.java
+++ b/org.oatlug/src/org/oatlug/internal/peer/PeerNetwork.java
@@ -15,5 +15,5 @@
    * <p>Fails with {@link org.oatlug.errors.PeerUnavailableException} when the peer cannot be
    * reached, reports a failure, or does not respond within {@code timeout}.
    */
-  Uni<PeerMessage> ask(Member peer, PeerMessage message, Duration timeout);
+  Uni<PeerMessage> sendRequest(Member peer, PeerMessage message, Duration timeout);
 }
--- a/org.oatlug/src/org/oatlug/internal/peer/TcpPeerNetwork.java
+++ b/org.oatlug/src/org/oatlug/internal/peer/TcpPeerNetwork.java
@@ -77,10 +77,10 @@
   }
 
   @Override
-  public Uni<PeerMessage> ask(Member peer, PeerMessage message, Duration timeout) {
+  public Uni<PeerMessage> sendRequest(Member peer, PeerMessage message, Duration timeout) {
     return Unis.fromFuture(() -> connectionWithin(peer, timeout))
         .onItem()
-        .transformToUni(connection -> connection.ask(message, timeout));
+        .transformToUni(connection -> connection.sendRequest(message, timeout));
   }
 
   /**
--- a/org.oatlug/src/org/oatlug/internal/rollout/CandidateEvidence.java
+++ b/org.oatlug/src/org/oatlug/internal/rollout/CandidateEvidence.java
@@ -30,9 +30,9 @@
   public void add(RolloutGuard.Measure measure, boolean isCandidate, boolean failed) {
     SequentialTest test = measure == RolloutGuard.Measure.ERRORS ? errors : ratings;
     if (isCandidate) {
-      test.candidate(failed);
+      test.recordCandidate(failed);
     } else {
-      test.current(failed);
+      test.recordCurrent(failed);
     }
   }
 
--- a/org.oatlug/src/org/oatlug/internal/rollout/RolloutGuard.java
+++ b/org.oatlug/src/org/oatlug/internal/rollout/RolloutGuard.java
@@ -151,7 +151,7 @@
     }
     PeerMessage message = new PeerMessage.GuardEvidence(rollout.candidate(), ownLogEvidence);
     network
-        .ask(owner.get(), message, REQUEST_TIMEOUT)
+        .sendRequest(owner.get(), message, REQUEST_TIMEOUT)
         .subscribe()
         .with(answer -> {}, failure -> {});
   }
--- a/org.oatlug/src/org/oatlug/internal/rollout/SequentialTest.java
+++ b/org.oatlug/src/org/oatlug/internal/rollout/SequentialTest.java
@@ -31,13 +31,13 @@
   }
 
   /** Records an outcome of the current version. */
-  public void current(boolean failed) {
+  public void recordCurrent(boolean failed) {
     enqueue(current, failed);
     matchPairs();
   }
 
   /** Records an outcome of the candidate. */
-  public void candidate(boolean failed) {
+  public void recordCandidate(boolean failed) {
     enqueue(candidate, failed);
     matchPairs();
   }
--- a/org.oatlug/src/org/oatlug/internal/routing/PlacementCost.java
+++ b/org.oatlug/src/org/oatlug/internal/routing/PlacementCost.java
@@ -64,7 +64,7 @@
    * @param otherZone whether it is in another availability zone
    * @param failureShare its share of failures and refusals, 0 to 1
    * @param cold whether it has recently started and has a reduced capacity
-   * @param ejected whether it is ejected, or to be avoided like an ejected one: because its zone is
+   * @param avoided whether it is ejected, or to be avoided like an ejected one: because its zone is
    *     unreachable, or because it runs a request that is suspected of crashing upstreams
    */
   public record UpstreamState(
@@ -74,7 +74,7 @@
       boolean otherZone,
       double failureShare,
       boolean cold,
-      boolean ejected) {}
+      boolean avoided) {}
 
   /**
    * Returns the cost of sending a request to an upstream, in milliseconds.
@@ -93,7 +93,7 @@
     if (state.otherZone()) {
       cost += crossZoneCost(forecast, bodyBytes);
     }
-    return state.ejected() ? cost + EJECTED_MILLIS : cost;
+    return state.avoided() ? cost + EJECTED_MILLIS : cost;
   }
 
   private static double crossZoneCost(FirstTokenForecast forecast, int bodyBytes) {
--- a/org.oatlug/src/org/oatlug/platform/StoreEpoch.java
+++ b/org.oatlug/src/org/oatlug/platform/StoreEpoch.java
@@ -18,14 +18,14 @@
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   /** The epoch of a store that does not report one. */
-  public static final long UNNAMED = 0;
+  public static final long UNREPORTED = 0;
 
   private static final int MALFORMED_LOG_INTERVAL_SECONDS = 30;
 
   /** Few enough digits that any match fits a {@code long}. */
   private static final Pattern NUMBER = Pattern.compile("\\d{1,15}");
 
-  private long newest = UNNAMED;
+  private long newest = UNREPORTED;
 
   private StoreEpoch() {}
 
@@ -64,7 +64,7 @@
     if (epoch <= newest) {
       return;
     }
-    if (newest != UNNAMED) {
+    if (newest != UNREPORTED) {
       logger.atWarning().log(
           "the store was restored from a copy, epoch=%d before=%d", epoch, newest);
     }
--- a/org.oatlug/src/org/oatlug/platform/StoreRevision.java
+++ b/org.oatlug/src/org/oatlug/platform/StoreRevision.java
@@ -13,19 +13,19 @@
  * compared without their epochs.
  *
  * @param epoch the epoch of the store, which increases with each restore; {@link
- *     StoreEpoch#UNNAMED} if the store does not report it
+ *     StoreEpoch#UNREPORTED} if the store does not report it
  * @param number the number of the write within the epoch
  */
 public record StoreRevision(long epoch, long number) implements Comparable<StoreRevision> {
   /** The revision before any write. */
-  public static final StoreRevision NONE = new StoreRevision(StoreEpoch.UNNAMED, 0);
+  public static final StoreRevision NONE = new StoreRevision(StoreEpoch.UNREPORTED, 0);
 
   private static final Comparator<StoreRevision> ORDER =
       Comparator.comparingLong(StoreRevision::epoch).thenComparingLong(StoreRevision::number);
 
   /** Returns a revision of a store that does not report an epoch. */
   public static StoreRevision ofNumber(long number) {
-    return new StoreRevision(StoreEpoch.UNNAMED, number);
+    return new StoreRevision(StoreEpoch.UNREPORTED, number);
   }
 
   @Override
@@ -41,6 +41,6 @@
   /** Returns the epoch and the number, the number alone if there is no epoch. */
   @Override
   public String toString() {
-    return epoch == StoreEpoch.UNNAMED ? Long.toString(number) : epoch + "/" + number;
+    return epoch == StoreEpoch.UNREPORTED ? Long.toString(number) : epoch + "/" + number;
   }
 }
