--- a/org.oatlug.pgm/src/org/oatlug/pgm/ApplyCommand.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/ApplyCommand.java
@@ -61,7 +61,7 @@
   private static void publishObject(ObjectPublisher publisher, ObjectKey key, JsonNode spec)
       throws OatlugException {
     if (!spec.isObject()) {
-      throw new ConfigurationInvalidException(key.toString(), "is no object");
+      throw new ConfigurationInvalidException(key.toString(), "is not an object");
     }
     publisher.publish(key, spec);
   }
--- a/org.oatlug.pgm/src/org/oatlug/pgm/BillsCommand.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/BillsCommand.java
@@ -76,7 +76,7 @@
     try {
       return Integer.parseInt(line.getOptionValue("shards", DEFAULT_SHARDS));
     } catch (NumberFormatException e) {
-      throw new UsageException("--shards is no number");
+      throw new UsageException("--shards is not a number");
     }
   }
 }
--- a/org.oatlug.pgm/src/org/oatlug/pgm/CheckCommand.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/CheckCommand.java
@@ -44,7 +44,7 @@
   public ExitCode call(CommandLine line, List<String> arguments, CommandSession session)
       throws OatlugException {
     DeploymentFile file = readValid(Path.of(fileOf(line)));
-    session.print(file.objects().size() + " objects are good");
+    session.print(file.objects().size() + " objects are valid");
     return ExitCode.OK;
   }
 
--- a/org.oatlug.pgm/src/org/oatlug/pgm/ExplainCommand.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/ExplainCommand.java
@@ -23,12 +23,12 @@
 
   @Override
   public String arguments() {
-    return "WORKSPACE MODEL [--task TASK] | --host HOST --path PATH [--tokens READ,MADE]";
+    return "WORKSPACE MODEL [--task TASK] | --host HOST --path PATH [--tokens PROMPT,OUTPUT]";
   }
 
   @Override
   public String summary() {
-    return "show where a request would go, and why each other candidate was passed over";
+    return "show where a request would go, and why each other candidate is excluded";
   }
 
   @Override
@@ -39,9 +39,10 @@
   @Override
   public void addOptions(Options options) {
     options.addOption(null, "task", true, "the caller's task name");
-    options.addOption(null, "host", true, "the host of a routed service; ask the metrics port");
-    options.addOption(null, "path", true, "the path that a caller asks for");
-    options.addOption(null, "tokens", true, "tokens of the prompt, and the most to be made");
+    options.addOption(
+        null, "host", true, "the host of a routed service; --instance is a metrics port");
+    options.addOption(null, "path", true, "the path of the request");
+    options.addOption(null, "tokens", true, "tokens of the prompt, and the maximum to generate");
   }
 
   @Override
@@ -70,8 +71,8 @@
     TextTable table = TextTable.titled("CANDIDATE", "RESULT");
     JsonNode route = decision.path("route");
     if (route.isObject()) {
-      table.add(route.path("version").asText(), "taken, stage " + route.path("stage").asText());
-      table.add(route.path("upstream").asText(), "taken");
+      table.add(route.path("version").asText(), "selected, stage " + route.path("stage").asText());
+      table.add(route.path("upstream").asText(), "selected");
     } else {
       table.add(arguments.get(1), "refused: " + decision.path("refusal").asText());
     }
@@ -101,8 +102,9 @@
     for (JsonNode target : explanation.path("targets")) {
       String service = target.path("service").asText();
       for (JsonNode stage : target.path("stages")) {
-        String taken = "taken from confidence " + stage.path("leastConfidence").asInt();
-        table.add(route, service, "model " + stage.path("model").asText(), taken);
+        String acceptance =
+            "answer accepted from confidence " + stage.path("leastConfidence").asInt();
+        table.add(route, service, "model " + stage.path("model").asText(), acceptance);
       }
       for (JsonNode upstream : target.path("upstreams")) {
         table.add(route, service, candidateOf(upstream), resultOf(upstream));
@@ -129,6 +131,8 @@
   /** Returns the reason why an upstream is excluded. */
   private static String exclusionOf(JsonNode upstream) {
     JsonNode reason = upstream.path("out");
-    return reason.isTextual() ? "out, " + reason.asText().toLowerCase(Locale.ROOT) : "out";
+    return reason.isTextual()
+        ? "excluded, " + reason.asText().toLowerCase(Locale.ROOT)
+        : "excluded";
   }
 }
--- a/org.oatlug.pgm/src/org/oatlug/pgm/GetCommand.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/GetCommand.java
@@ -39,7 +39,7 @@
   public ExitCode call(CommandLine line, List<String> arguments, CommandSession session)
       throws OatlugException {
     if (arguments.isEmpty() || !Kinds.ALL.contains(arguments.get(0))) {
-      throw new UsageException("the kind is one of " + Kinds.ALL);
+      throw new UsageException("KIND must be one of " + Kinds.ALL);
     }
     ArrayNode array = Json.STRICT.createArrayNode();
     TextTable table = TextTable.titled("NAME", "VERSION", "CONTENT");
--- a/org.oatlug.pgm/src/org/oatlug/pgm/LetRunCommand.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/LetRunCommand.java
@@ -23,7 +23,7 @@
 
   @Override
   public String summary() {
-    return "forget, at all instances, that upstreams ended under a request; see status";
+    return "forget, at all instances, that upstreams crashed while they ran a request; see status";
   }
 
   @Override
--- a/org.oatlug.pgm/src/org/oatlug/pgm/Oatlug.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/Oatlug.java
@@ -97,7 +97,7 @@
   private static CommandSession sessionOf(CommandLine line, PrintStream out) throws UsageException {
     String output = line.getOptionValue("output", "text");
     if (!List.of("text", "json").contains(output)) {
-      throw new UsageException("--output is text or json");
+      throw new UsageException("--output must be text or json");
     }
     return CommandSession.open(
         address(line, "platform", PLATFORM_VARIABLE),
@@ -117,7 +117,7 @@
       int port = Integer.parseInt(text.substring(colon + 1));
       return Optional.of(new Settings.Address(text.substring(0, Math.max(0, colon)), port));
     } catch (NumberFormatException e) {
-      throw new UsageException("--" + option + " is no HOST:PORT");
+      throw new UsageException("--" + option + " is not a HOST:PORT");
     }
   }
 
--- a/org.oatlug.pgm/src/org/oatlug/pgm/PolicyCommand.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/PolicyCommand.java
@@ -32,7 +32,7 @@
 
   @Override
   public String summary() {
-    return "publish a policy program; a bad one is refused and the old one stays";
+    return "publish a policy program; an invalid one is rejected and the previous one stays";
   }
 
   @Override
--- a/org.oatlug.pgm/src/org/oatlug/pgm/RolloutCommand.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/RolloutCommand.java
@@ -76,7 +76,7 @@
     try {
       content.put("weightPercent", Integer.parseInt(line.getOptionValue("weight", "5")));
     } catch (NumberFormatException e) {
-      throw new UsageException("--weight is no number");
+      throw new UsageException("--weight is not a number");
     }
     content.put(STATE, "running");
     content.put("onHalt", line.getOptionValue("on-halt", "keep"));
--- a/org.oatlug.pgm/src/org/oatlug/pgm/StatusCommand.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/StatusCommand.java
@@ -50,7 +50,7 @@
       table.add("store", "epoch " + status.path("store").path("epoch"), storeState(status));
     }
     for (JsonNode zone : status.path("emptiedZones")) {
-      table.add("zone", zone.asText(), "emptied, its upstreams get nothing");
+      table.add("zone", zone.asText(), "evacuated, its upstreams receive no requests");
     }
     for (JsonNode rolloutStatus : status.path("rollouts")) {
       table.add("roll-out", rolloutStatus.path("service").asText(), rolloutState(rolloutStatus));
@@ -68,7 +68,7 @@
               + (upstreamStatus.path("restsMillis").asLong() > 0
                   ? backOffState(upstreamStatus)
                   : "")
-              + (upstreamStatus.path("keptOut").asBoolean() ? ", kept out" : "");
+              + (upstreamStatus.path("keptOut").asBoolean() ? ", ejected" : "");
       String state = "load " + upstreamStatus.path("expectedLoad").asText() + conditions;
       table.add("upstream", upstreamStatus.path("name").asText(), state);
     }
@@ -86,7 +86,7 @@
     store.path("retained").forEach(kind -> retained.add(kind.asText()));
     return String.format(
         Locale.ROOT,
-        "known for %.1f s, retained: %s, awaited: %d",
+        "known for %.1f s, retained: %s, not yet listed: %d",
         store.path("sinceMillis").asLong() / MILLIS_PER_SECOND,
         retained.isEmpty() ? "nothing" : String.join(" ", retained),
         store.path("awaited").asLong());
@@ -102,14 +102,14 @@
 
   private static String backOffState(JsonNode upstream) {
     double seconds = upstream.path("restsMillis").asLong() / MILLIS_PER_SECOND;
-    return String.format(Locale.ROOT, ", rests for %.1f s", seconds);
+    return String.format(Locale.ROOT, ", backs off for %.1f s", seconds);
   }
 
   /** Returns why a request runs isolated or is refused, and for how long. */
   private static String heldRequestState(JsonNode heldRequest) {
     return String.format(
         Locale.ROOT,
-        "%s of %s, %d upstreams ended under it, for %.0f s",
+        "%s of %s, %d upstreams crashed while they ran it, for %.0f s",
         heldRequest.path("verdict").asText().toLowerCase(Locale.ROOT),
         heldRequest.path("subject").asText(),
         heldRequest.path("ended").size(),
@@ -120,12 +120,12 @@
   private static String rolloutState(JsonNode rollout) {
     return String.format(
         Locale.ROOT,
-        "to %s, %.0f%% of its time, share %.0f%%, evidence %.1f of %d answers%s",
+        "to %s, %.0f%% of its duration, share %.0f%%, evidence %.1f from %d answers%s",
         rollout.path("version").asText(),
         PERCENT * rollout.path("part").asDouble(),
         PERCENT * rollout.path("share").asDouble(),
         rollout.path("evidence").asDouble(),
         rollout.path("answers").asLong(),
-        rollout.path("refuted").asBoolean() ? ", refuted" : "");
+        rollout.path("refuted").asBoolean() ? ", version refuted" : "");
   }
 }
--- a/org.oatlug.pgm/src/org/oatlug/pgm/VersionCommand.java
+++ b/org.oatlug.pgm/src/org/oatlug/pgm/VersionCommand.java
@@ -83,7 +83,7 @@
     try {
       return Long.parseLong(line.getOptionValue("cost", "0"));
     } catch (NumberFormatException e) {
-      throw new UsageException("--cost is no number");
+      throw new UsageException("--cost is not a number");
     }
   }
 
